--- a/anvilshift/core/admission.py
+++ b/anvilshift/core/admission.py
@@ -1,14 +1,15 @@
-"""Refuse at once what can't be answered before its deadline.
-
-Load pattern: callers send at the last moment, and in a burst or overload more
-arrives than can be served in time.  Without this, every request waits, most
-run when nobody needs the answer any more, and callers learn of it at their
-deadline, when it is too late to go elsewhere.
-
-The expected wait is the expected run time of what is served earlier, over the
-slots that this router may use.  Under fair queueing no more is served earlier
-than everything that waits, nor more than the organisation's own backlog over
-its share; the smaller of the two counts.
+"""Reject on arrival requests that can't be answered before their deadlines.
+
+Load pattern: callers send shortly before their deadlines, and in a burst or
+overload more requests arrive than can be served in time.  Without admission
+control every request would wait, most would run after the answer had become
+useless, and callers would learn of it only at their deadlines, too late to try
+elsewhere.
+
+The expected wait is the expected run time of the work that is served earlier,
+divided by the slots that this router may use.  Fair queueing bounds the earlier
+work both by the total backlog and by the organisation's own backlog divided by its
+share; the smaller bound is used.
 """
 
 import random
@@ -16,55 +17,66 @@
 
 from anvilshift.core.clock import SECOND, Millis
 
-_EARLIEST_RETRY: Millis = 250.0
-"""Load reports come about four times a second; earlier nothing has changed."""
-_LATEST_RETRY: Millis = 30 * SECOND
+_MIN_RETRY_DELAY: Millis = 250.0
+"""Load reports arrive about four times a second; an earlier retry would find the
+same load."""
+_MAX_RETRY_DELAY: Millis = 30 * SECOND
 _JITTER = 0.5
-"""Callers that were refused together come back over half the wait again."""
+"""Part of the wait by which a retry is delayed at most, at random: callers that
+were refused together must not return together."""
 
 
 @dataclass(frozen=True)
-class Ahead:
-    """What stands before a request.
+class QueueLoad:
+    """The load that determines how long a request will wait.
 
     Parameters
     ----------
     backlog
-        Run time of all that waits at the same or a higher priority.
-    own
-        Run time of what its organisation has waiting.
-    weight, weights
-        Weight of its organisation, and of all that wait.
+        Expected run time of all waiting work of the same or a higher priority.
+    own_backlog
+        Expected run time of the waiting work of the request's organisation.
+    weight, total_weight
+        Weight of its organisation, and the sum over all organisations that have
+        work waiting.
     slots
-        Slots that this router may use.
+        Number of slots that this router may use.
     """
 
     backlog: Millis
-    own: Millis
+    own_backlog: Millis
     weight: float
-    weights: float
+    total_weight: float
     slots: float
 
     def wait(self) -> Millis:
-        """Return the expected wait.
+        """Return the expected wait in milliseconds.
 
         Examples
         --------
-        >>> Ahead(backlog=900.0, own=100.0, weight=1.0, weights=3.0, slots=2.0).wait()
+        >>> load = QueueLoad(
+        ...     backlog=900.0,
+        ...     own_backlog=100.0,
+        ...     weight=1.0,
+        ...     total_weight=3.0,
+        ...     slots=2.0,
+        ... )
+        >>> load.wait()
         150.0
         """
-        share = self.weight / max(self.weights, self.weight)
-        earlier = min(self.backlog, self.own / share)
-        return earlier / max(self.slots, _LEAST_SLOTS)
+        share = self.weight / max(self.total_weight, self.weight)
+        earlier_work = min(self.backlog, self.own_backlog / share)
+        return earlier_work / max(self.slots, _MIN_SLOTS)
 
 
-_LEAST_SLOTS = 0.1
-"""A router's part of an engine can be small but it comes round: one slot of an
-engine shared by forty routers."""
+_MIN_SLOTS = 0.1
+"""Lower bound of the slots in the estimate of the wait.  Routers use an engine's slots
+by turns, so a router's part is small but not zero, as when forty routers share an
+engine with one slot."""
 
 
 def is_hopeless(deadline: Millis, now: Millis, wait: Millis, service: Millis) -> bool:
-    """Tell whether an answer can't be whole before the deadline.
+    """Return whether an answer can't be complete before the deadline.
 
     Examples
     --------
@@ -75,13 +87,14 @@
 
 
 def draw_retry(excess: Millis, rng: random.Random) -> Millis:
-    """Return when to come back after a refusal.
+    """Return the retry delay for a refused caller, with random jitter.
 
     Parameters
     ----------
     excess
-        How much shorter the wait must become for the work to be accepted;
-        it shortens by a millisecond each millisecond.
+        How much the wait must decrease for the work to be accepted.  The wait
+        decreases by one millisecond per millisecond, so this is the shortest
+        useful delay.
     """
-    base = min(max(excess, _EARLIEST_RETRY), _LATEST_RETRY)
+    base = min(max(excess, _MIN_RETRY_DELAY), _MAX_RETRY_DELAY)
     return base * rng.uniform(1.0, 1.0 + _JITTER)
--- a/anvilshift/core/backlog.py
+++ b/anvilshift/core/backlog.py
@@ -1,6 +1,6 @@
-"""The work that waits: what is let in, given up and dropped."""
+"""The queue of waiting work: admission, expiry and dropping."""
 
-from anvilshift.core.admission import Ahead, is_hopeless
+from anvilshift.core.admission import QueueLoad, is_hopeless
 from anvilshift.core.clock import Millis
 from anvilshift.core.errors import NO_ENGINE, OVERLOADED, PAST_DEADLINE, Code
 from anvilshift.core.pools import Pool
@@ -11,7 +11,14 @@
 
 
 class Backlog:
-    """Work that waits for a target, by identity."""
+    """The work that waits for a target.
+
+    Attributes
+    ----------
+    entries
+        Waiting work with its pool, by the identity of the request.  It includes
+        work that is in no queue while the other routers are asked about it.
+    """
 
     def __init__(self, state: DispatchState, reach: Reach) -> None:
         self._reach = reach
@@ -19,7 +26,7 @@
         self._state = state
 
     def admit(self, entry: Entry, now: Millis) -> Actions:
-        """Let work in or refuse it; a full queue drops the least valuable."""
+        """Queue work or refuse it; if the queue is full, drop the least valuable."""
         work = entry.work
         pool = self._state.pools.find(work.candidates)
         if pool is None or not pool.usable:
@@ -28,16 +35,20 @@
         entry.service = durations.service(work)
         entry.cost = work.prompt_tokens + durations.tokens(work)
         pool.classify(entry)
-        refusal = self._judge(entry, pool, now)
+        refusal = self._check_deadline(entry, pool, now)
         if refusal is not None:
             return [refusal]
         self.wait(entry, pool, now)
         if len(self.entries) > self._state.settings.queue_length:
-            return [self._drop()]
+            return [self._drop_least_valuable()]
         return []
 
-    def _judge(self, entry: Entry, pool: Pool, now: Millis) -> Refuse | None:
-        """Refuse work that has no hope; None lets it in."""
+    def _check_deadline(self, entry: Entry, pool: Pool, now: Millis) -> Refuse | None:
+        """Return a refusal if the answer can't be in time; None to admit the work.
+
+        While no recent run times are known, only work that is already past its
+        deadline is refused.
+        """
         if entry.work.deadline <= now:
             return self._state.refuse(entry, PAST_DEADLINE, "", 0.0)
         if not pool.kind.durations.is_fresh(now):
@@ -54,20 +65,20 @@
     def _predict_wait(self, entry: Entry, pool: Pool) -> Millis:
         ahead = [p for p in pool.kind.pools if p.top >= pool.top]
         organisation = entry.work.organisation
-        return Ahead(
+        return QueueLoad(
             backlog=sum(p.backlog for p in ahead),
-            own=sum(
-                queues.backlog_of(organisation)
+            own_backlog=sum(
+                queues.find_backlog(organisation)
                 for p in ahead
                 for queues in (p.short, p.long)
             ),
             weight=entry.work.weight,
-            weights=sum(p.short.weight + p.long.weight for p in ahead),
+            total_weight=sum(p.short.weight + p.long.weight for p in ahead),
             slots=pool.slots,
         ).wait()
 
     def wait(self, entry: Entry, pool: Pool, now: Millis) -> Actions:
-        """Queue work until a target has room or it becomes hopeless."""
+        """Queue work until a target has room or it can't be answered in time."""
         identity = entry.work.identity
         self.entries[identity] = entry, pool
         entry.allowed = self._reach.list_allowed(entry.work, pool, now)
@@ -80,7 +91,7 @@
         return []
 
     def _expire(self, entry: Entry, now: Millis) -> Actions:
-        """Refuse work that has waited until it became hopeless."""
+        """Refuse work that has waited too long to be answered in time."""
         found = self.entries.get(entry.work.identity)
         if found is None or found[0] is not entry or not entry.waits:
             return []
@@ -88,31 +99,31 @@
             return [self.give_up(entry, PAST_DEADLINE)]
         return [self.give_up(entry, OVERLOADED, "no slot came free in time")]
 
-    def _drop(self) -> Refuse:
-        """Make room in a full queue: the least valuable work goes."""
+    def _drop_least_valuable(self) -> Refuse:
+        """Drop the least valuable work of the lowest priority from a full queue."""
         queues = [
             (pool.top, -queue.backlog, index, queue)
             for index, pool in enumerate(self._state.pools)
             for queue in (pool.short, pool.long)
             if queue.count
         ]
-        victim = min(queues, key=lambda item: item[:3])[3].least_valuable()
-        return self.give_up(victim, OVERLOADED, "queue is full")
+        dropped = min(queues, key=lambda item: item[:3])[3].find_least_valuable()
+        return self.give_up(dropped, OVERLOADED, "queue is full")
 
     def give_up(self, entry: Entry, code: Code, detail: str = "") -> Refuse:
-        """Refuse work that waits."""
+        """Remove waiting work from its queue and refuse it."""
         _, pool = self.entries.pop(entry.work.identity)
         pool.queue_of(entry).remove(entry)
         wait = self._predict_wait(entry, pool)
         return self._state.refuse(entry, code, detail, wait)
 
     def refuse_stuck(self, entry: Entry) -> Refuse:
-        """Refuse work none of whose targets is in use."""
+        """Refuse work whose allowed targets are all out of use."""
         detail = "the targets that it may reach are out of use"
         return self._state.refuse(entry, NO_ENGINE, detail, NO_TARGET_RETRY)
 
     def give_up_all(self, pool: Pool) -> Actions:
-        """Refuse everything that waits for targets that are gone."""
+        """Refuse all waiting work of a pool that has no usable target left."""
         entries = [*pool.short.drain(), *pool.long.drain()]
         for entry in entries:
             del self.entries[entry.work.identity]
--- a/anvilshift/core/backoff.py
+++ b/anvilshift/core/backoff.py
@@ -1,7 +1,8 @@
-"""Backoff with full jitter between tries.
+"""Exponential backoff with full jitter between attempts.
 
-Clients that failed together would otherwise return together; a span drawn
-evenly from zero to a doubling bound spreads them over the whole interval.
+Clients that failed at the same time would otherwise retry at the same time.  A delay
+drawn uniformly between zero and a bound that doubles with each attempt spreads their
+retries over the whole interval.
 """
 
 import random
@@ -12,14 +13,14 @@
 
 @dataclass(frozen=True)
 class Backoff:
-    """How long to wait before a further try.
+    """Delay before another attempt.
 
     Parameters
     ----------
     base
-        Bound of the first wait in milliseconds; it doubles each time.
+        Upper bound of the first delay in milliseconds; it doubles with each attempt.
     limit
-        Largest bound.
+        Maximum of the bound.
 
     Examples
     --------
@@ -31,9 +32,9 @@
     limit: Millis = 2_000.0
 
     def bound(self, attempt: int) -> Millis:
-        """Return the longest wait before a try, counted from zero."""
+        """Return the upper bound of the delay before an attempt, counted from zero."""
         return min(self.limit, self.base * 2.0 ** min(attempt, 30))
 
     def draw(self, attempt: int, rng: random.Random) -> Millis:
-        """Return a wait before a try."""
+        """Return a random delay before an attempt, counted from zero."""
         return rng.uniform(0.0, self.bound(attempt))
--- a/anvilshift/core/bucket.py
+++ b/anvilshift/core/bucket.py
@@ -1,17 +1,17 @@
-"""A token bucket: how often something may be done, with room for a burst."""
+"""A token bucket: limits how often something may be done and allows short bursts."""
 
 from anvilshift.core.clock import SECOND, Millis
 
 
 class Bucket:
-    """Permits that refill at a steady rate.
+    """Token bucket whose permits are refilled at a constant rate.
 
     Parameters
     ----------
     rate
-        Permits a second.
+        Permits added per second.
     burst
-        Most permits that can be saved up.
+        Maximum number of permits that can accumulate.
 
     Examples
     --------
@@ -24,16 +24,16 @@
         self._rate = rate
         self._burst = burst
         self._permits = burst
-        self._at: Millis | None = None
+        self._refilled_at: Millis | None = None
 
     def _refill(self, now: Millis) -> None:
-        if self._at is not None:
-            gained = max(0.0, now - self._at) * self._rate / SECOND
-            self._permits = min(self._burst, self._permits + gained)
-        self._at = now
+        if self._refilled_at is not None:
+            added = max(0.0, now - self._refilled_at) * self._rate / SECOND
+            self._permits = min(self._burst, self._permits + added)
+        self._refilled_at = now
 
     def take(self, now: Millis) -> bool:
-        """Take a permit; False when there is none."""
+        """Take a permit if there is one; return whether one was taken."""
         self._refill(now)
         if self._permits < 1.0:
             return False
@@ -41,7 +41,7 @@
         return True
 
     def wait(self, now: Millis) -> Millis:
-        """Return the milliseconds until a permit is there."""
+        """Return the milliseconds until a permit is available."""
         self._refill(now)
         missing = max(0.0, 1.0 - self._permits)
         return missing / self._rate * SECOND
--- a/anvilshift/core/dispatcher.py
+++ b/anvilshift/core/dispatcher.py
@@ -1,9 +1,10 @@
-"""Decide whom to serve, where and when: the one door to the load policies.
+"""Decide which requests are served, by which target and when.
 
-Events come in as method calls that carry the present instant; actions come
-out.  The daemon and the load bench call only this class.  Each policy is a
-module of its own, which says what it is for: admission, queue, concurrency,
-placement, prefixes, ejection, retries, quarantine, durations, pools.
+`Dispatcher` is the only interface to the load policies: the daemon and the load
+benchmark call no other class.  Each event is a method call that carries the
+current time and returns the actions to perform.  Each policy has its own module,
+which documents it: admission, queue, concurrency, placement, prefixes, ejection,
+retries, quarantine, durations, pools.
 """
 
 import random
@@ -36,9 +37,9 @@
 
 __all__ = ("NEWS_SPAN", "Dispatcher")
 
-_SWEEP: Millis = 250.0
-"""How often work that was passed over is looked at again; targets report about
-as often."""
+_SWEEP_INTERVAL: Millis = 250.0
+"""Interval between attempts to send work that was skipped; targets report their
+load about as often."""
 
 
 class Dispatcher:
@@ -47,9 +48,15 @@
     Parameters
     ----------
     settings
-        The figures of the policies.
+        Parameters of the policies.
     rng
-        Source of every random choice.
+        Random generator for every random choice.
+
+    Attributes
+    ----------
+    renew
+        Returns the work with its candidates recomputed; called for queued and
+        running work when the targets change.
 
     Examples
     --------
@@ -67,7 +74,7 @@
         self._backlog = Backlog(self._state, self._reach)
         self._sender = Sender(self._state, self._backlog, self._reach)
         self._relocation = Relocation(
-            self._state, self._backlog, self._reach, self._enter
+            self._state, self._backlog, self._reach, self._enqueue
         )
         self._resending = Resending(
             self._state, self._backlog, self._sender, self._reach, self._relocation
@@ -76,13 +83,13 @@
             self._state, self._backlog, self._sender, self._reach, self._relocation
         )
         self._rationing = Rationing(self._state, self._sender)
-        self._swept: Millis = 0.0
+        self._last_sweep: Millis = 0.0
         self._was_alone = self._state.is_alone
         self.renew: Callable[[Work], Work] = lambda work: work
 
     @property
     def waiting(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return len(self._backlog.entries)
 
     # Targets
@@ -90,7 +97,7 @@
     def configure(
         self, targets: Iterable[Target], now: Millis, revision: int = 0
     ) -> Actions:
-        """Take in the targets that are declared now.
+        """Replace the declared targets and rebuild the pools.
 
         Parameters
         ----------
@@ -99,30 +106,31 @@
         """
         declared = {target.name: target for target in targets}
         self._state.began = min(self._state.began, now)
-        old = {name: view.target for name, view in self._state.views.items()}
-        self._state.former.supersede(old, declared, revision, now)
+        old_targets = {name: view.target for name, view in self._state.views.items()}
+        self._state.former.supersede(old_targets, declared, revision, now)
         for name in set(self._state.views) - set(declared):
-            # Work that still runs there must not draw more work when it ends.
+            # When an attempt that still runs there ends, the removed target must
+            # not be given more work.
             removed = self._state.views.pop(name)
             removed.pools, removed.kind = [], Kind()
             self._state.prefixes.forget(name)
         for name, target in declared.items():
-            self._declare(name, target)
+            self._update_target(name, target)
         for attempt in self._sender.running.values():
             attempt.entry.work = self.renew(attempt.entry.work)
-        return self._make_pools(now)
+        return self._rebuild_pools(now)
 
     def agree(self, revision: int, now: Millis) -> Actions:
-        """Take in the revision that every router has in force.
+        """Record the revision that every router has in force.
 
-        Until then work goes only to targets that its content has before and after
-        a change.
+        Until all routers have a new revision in force, work is sent only to targets
+        that its content maps to both before and after the change.
         """
         ended = self._state.former.agree(revision, now)
-        return self._make_pools(now) if ended else []
+        return self._rebuild_pools(now) if ended else []
 
-    def _make_pools(self, now: Millis) -> Actions:
-        """Make the pools anew and let all that waits enter them."""
+    def _rebuild_pools(self, now: Millis) -> Actions:
+        """Rebuild the pools and enqueue all waiting work again."""
         waiting = [entry for entry, _ in self._backlog.entries.values()]
         self._backlog.entries.clear()
         self._was_alone = self._state.is_alone
@@ -140,10 +148,10 @@
         for entry in waiting:
             entry.lane = None
             entry.work = self.renew(entry.work)
-            actions += self._enter(entry, now)
+            actions += self._enqueue(entry, now)
         return actions
 
-    def _declare(self, name: str, target: Target) -> None:
+    def _update_target(self, name: str, target: Target) -> None:
         view = self._state.views.get(name)
         if view is None:
             view = TargetView(target, Limit(target.slots, self._state.routers))
@@ -153,28 +161,29 @@
         self._state.refresh(view, draw=True)
 
     def set_routers(self, routers: int) -> None:
-        """Take in how many routers share the targets."""
+        """Set the number of routers that share the targets."""
         self._state.routers = routers
         for view in self._state.views.values():
             view.limit.set_routers(routers)
             self._state.refresh(view, draw=True)
 
     def set_partitioned(self, partitioned: bool) -> None:
-        """Take in whether some other router can't be heard."""
+        """Set whether another router is unreachable."""
         self._state.partitioned = partitioned
 
     def set_others(self, known: bool) -> None:
-        """Take in whether any other router is known.
+        """Set whether any other router is known.
 
-        An only router may send a content anywhere; one that begins beside it must
-        hear of that before it serves.
+        A router that is alone may send a content to any target.  When another
+        router starts, it must learn where contents were sent before it serves, so
+        this one keeps a record of what is running.
         """
         if known and self._state.is_alone:
             self._state.quarantine.keep_running()
         self._state.has_others = known
 
     def leaving(self, target: str, now: Millis) -> Actions:
-        """Take in that a target is leaving: it gets no new work."""
+        """Stop sending new work to a target that is shutting down."""
         view = self._state.views.get(target)
         if view is None or view.leaving:
             return []
@@ -189,7 +198,7 @@
         return actions
 
     def staying(self, target: str, now: Millis) -> Actions:
-        """Take in that a target is not leaving after all."""
+        """Send work again to a target that cancelled its shutdown."""
         view = self._state.views.get(target)
         if view is None or not view.leaving:
             return []
@@ -200,13 +209,13 @@
         return self._sender.fill(view, now)
 
     def learn_limit(self, report: LoadReport) -> None:
-        """Take in only what a target names of its limit, and send nothing."""
+        """Record only the rate limit in a target's load report; send nothing."""
         view = self._state.views.get(report.target)
         if view is not None:
             self._rationing.learn(view, report.limit, report.as_of)
 
     def load_report(self, report: LoadReport, now: Millis) -> Actions:
-        """Take in a target's late report of its load."""
+        """Update a target's load from its report, which describes an earlier time."""
         view = self._state.views.get(report.target)
         if view is None:
             return []
@@ -218,19 +227,19 @@
         return [*self._rationing.end_over(now), *self._sender.fill(view, now)]
 
     def find_view(self, target: str) -> TargetView | None:
-        """Return what this router knows of a target."""
+        """Return this router's view of a target, or None if it is not declared."""
         return self._state.views.get(target)
 
     def list_wants(self) -> list[Want]:
-        """Return the targets for which nothing but a permit is missing."""
+        """Return the targets whose waiting work lacks only a permit."""
         return self._rationing.list_wants()
 
     def permit(self, target: str, run: str, now: Millis) -> Actions:
-        """Take in a permit to send one request to a target that has named a limit."""
+        """Use a permit to send one request to a rate-limited target."""
         return self._rationing.permit(target, run, now)
 
     def _check_reports(self, view: TargetView, now: Millis) -> Actions:
-        """Stop trusting the figures of a target whose reports have stopped."""
+        """Stop using a target's reported load once its reports have stopped."""
         if not view.limit.expire(now):
             self._state.timers.at(now + STALE, lambda at: self._check_reports(view, at))
             return []
@@ -238,7 +247,7 @@
         return self._sender.fill(view, now)
 
     def cache_event(self, event: CacheEvent, now: Millis) -> Actions:
-        """Take in a change of a target's prefix cache."""
+        """Update the record of a target's prefix cache."""
         if event.target in self._state.views:
             self._state.prefixes.take(event)
         return []
@@ -251,43 +260,61 @@
         age: Millis = 0.0,
         times: int = 1,
     ) -> None:
-        """Take in another router's news of a crash that is so old."""
+        """Record a crash that another router reported.
+
+        Parameters
+        ----------
+        age
+            Time since the crash.
+        times
+            Crashes of the target that are attributed to the content; 0 if it was only
+            running there.
+        """
         self._state.quarantine.hear(content, target, now, age, times)
 
     def note_lost_router(self, now: Millis) -> None:
-        """Take in that a router is missed that had not said that it leaves."""
+        """Record that a router became unreachable without announcing a shutdown."""
         self._state.router_lost = now
 
     def prepare(self, ask: Ask, now: Millis) -> bool:
-        """Hold a content back that another router would send elsewhere."""
+        """Hold back a content that another router asks to relocate.
+
+        Returns
+        -------
+        bool
+            Whether this router agrees.
+        """
         return self._relocation.prepare(ask, now)
 
     def settle(self, ask: Ask, agreed: bool, now: Millis) -> Actions:
-        """Take in whether a content goes to the target that was asked for."""
+        """Finish a relocation, once it is known whether all routers agreed."""
         return self._relocation.settle(ask, agreed, now)
 
     def list_confined(self, content: str) -> list[str]:
-        """Return the targets of a content that used up what it may cost."""
+        """Return the only targets that may run a content; empty if any target may."""
         return self._state.quarantine.list_confined(content)
 
     def list_crashes(self, now: Millis) -> list[Announce]:
-        """Return what a router that has just started must hear."""
+        """Return the crashes that a router that has just started must learn of."""
         return self._state.quarantine.list_crashes(now)
 
     # Requests
 
     def arrive(self, work: Work, now: Millis) -> Actions:
-        """Take in a request."""
+        """Queue or send a new request, or refuse it."""
         if self._state.quarantine.is_quarantined(work.content, now):
             return [self._state.refuse_quarantined(work)]
         entry = Entry(work, 0.0, 0.0)
         pool = self._state.pools.find(work.candidates)
         if pool is not None and self._reach.is_stuck(work, pool, now):
             return self._relocation.begin(entry, pool, now)
-        return self._enter(entry, now)
+        return self._enqueue(entry, now)
+
+    def _enqueue(self, entry: Entry, now: Millis) -> Actions:
+        """Admit work to the queue and send it if a target has room.
 
-    def _enter(self, entry: Entry, now: Millis) -> Actions:
-        """Let work in and place it if there is room."""
+        Work that was already attempted is sent again under the retry policy.
+        """
         if entry.attempts:
             return self._resending.send_again(entry, now)
         actions = self._backlog.admit(entry, now)
@@ -297,7 +324,7 @@
         return [*actions, *self._sender.offer(entry, pool, now)]
 
     def first_token(self, identity: str, now: Millis) -> Actions:
-        """Take in that an answer has begun."""
+        """Record that the first token of an answer arrived."""
         attempt = self._sender.running.get(identity)
         if attempt is None or attempt.first is not None:
             return []
@@ -309,7 +336,7 @@
         return self._upkeep.check_health(attempt.view, now)
 
     def done(self, identity: str, tokens: int, now: Millis) -> Actions:
-        """Take in that an answer is whole."""
+        """Record that an answer is complete and free its slot."""
         attempt = self._sender.stop(identity, now)
         if attempt is None:
             return []
@@ -329,25 +356,29 @@
         return [*self._upkeep.check_health(view, now), *self._sender.fill(view, now)]
 
     def recorded(self, span: Millis) -> None:
-        """Take in how long the end of an answer waited for its bill."""
+        """Record how long the end of an answer was delayed until its bill was stored.
+
+        The deadline by which work must be answered allows for this delay.
+        """
         self._state.recording.add(max(span, 1.0))
 
     def failed(self, identity: str, failure: Failure, now: Millis) -> Actions:
-        """Take in that an attempt failed; the work is sent again or refused."""
+        """Record a failed attempt; retry the work or refuse it."""
         attempt = self._sender.running.get(identity)
         if attempt is None:
             return []
         entry, view, content = attempt.entry, attempt.view, attempt.entry.work.content
         name = view.target.name
         actions: Actions = []
-        begun = attempt.first is not None
-        news = self._state.quarantine.failed(
-            content, name, failure, attempt.sent, now, begun
+        answer_begun = attempt.first is not None
+        announcement = self._state.quarantine.failed(
+            content, name, failure, attempt.sent, now, answer_begun
         )
-        if news is not None:
-            actions.append(news)
+        if announcement is not None:
+            actions.append(announcement)
         if failure is Failure.NOT_SENT:
-            # Nobody listens there: it restarts, with an empty cache.
+            # The target accepts no connections: it is restarting and will come
+            # back with an empty cache.
             self._state.prefixes.forget(name)
         self._sender.stop(identity, now, ran=failure not in NEVER_RAN)
         if attempt.counts:
@@ -358,7 +389,7 @@
         return [*actions, *self._sender.fill(view, now)]
 
     def cancel(self, identity: str, now: Millis) -> Actions:
-        """Take in that the caller left, or that the request is given up."""
+        """Drop a request whose caller disconnected or that was abandoned."""
         found = self._backlog.entries.pop(identity, None)
         if found is not None:
             entry, pool = found
@@ -372,21 +403,21 @@
     # Time
 
     def tick(self, now: Millis) -> Actions:
-        """Do what is due."""
+        """Run the timers that are due and, at intervals, retry skipped work."""
         actions = [*self._state.timers.run(now), *self._rationing.end_over(now)]
         if self._state.is_alone != self._was_alone:
-            # What waits for any target may go to its content's two only, or the
-            # other way round.
-            actions += self._make_pools(now)
-        if now >= self._swept + _SWEEP:
-            self._swept = now
+            # A router that is alone may send a content to any target; one of
+            # several only to the two home targets of the content.
+            actions += self._rebuild_pools(now)
+        if now >= self._last_sweep + _SWEEP_INTERVAL:
+            self._last_sweep = now
             actions += self._sender.sweep(now)
         return actions
 
     def next_tick(self, now: Millis) -> Millis | None:
-        """Return the instant at which `tick` must be called, if any."""
+        """Return the time of the next call of `tick`, or None if none is needed."""
         due = self._state.timers.first()
         if not self._backlog.entries:
             return due
-        sweep = max(now, self._swept + _SWEEP)
+        sweep = max(now, self._last_sweep + _SWEEP_INTERVAL)
         return sweep if due is None else min(due, sweep)
--- a/anvilshift/core/patience.py
+++ b/anvilshift/core/patience.py
@@ -1,10 +1,10 @@
-"""How long a target is waited for, who goes first there, and when to return.
+"""Timeouts at targets, priorities of requests at engines, and retry delays.
 
-Load pattern: engines hang, fall silent in the midst of a stream, or lose an answer
-that they made, while callers have seconds left.  Without bounds the caller waits to
-its deadline for an answer that never comes, although another target could serve it.
-Silence alone ends no answer: the bounds hold only where the request may go on
-elsewhere.
+Load pattern: engines hang, stop in the middle of a stream, or lose an answer that
+they produced, while callers have seconds left.  Without timeouts a caller would wait
+until its deadline for an answer that never comes, although another target could
+serve it.  A timeout alone ends no answer: timeouts apply only where the request may
+continue on another target.
 """
 
 import random
@@ -12,41 +12,44 @@
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.routing import RequestKind, Rule
 
-_TRY_PART = 0.4
-"""Part of the time left that one try of an idempotent request may take: a target
-that hangs must leave time for another."""
-_LEAST_TRY: Millis = 300.0
-"""About twice the slowest answer in a hundred of the users' plain services."""
-_FIRST_FACTOR = 2.0
-_FIRST_SLACK: Millis = 600.0
-"""A first token that takes over twice the predicted time and this is not coming:
-of those that came, 99 in 100 took at most 480 ms longer than predicted."""
-_SILENCE_FACTOR = 4.0
-"""Pauses of a stream, in its pause objective, after which its engine has gone
-silent: 99 in 100 pauses are under two, and callers leave after eight."""
-_SILENCE: Millis = 1_200.0
-"""The same where a route has no pause objective."""
+_ATTEMPT_FRACTION = 0.4
+"""Fraction of the remaining time that one attempt of an idempotent request may take:
+an attempt at a target that hangs must leave time for another."""
+_MIN_ATTEMPT_TIMEOUT: Millis = 300.0
+"""Shortest timeout of an attempt: about twice the 99th percentile of the answer times
+of the users' plain services."""
+_FIRST_TOKEN_FACTOR = 2.0
+_FIRST_TOKEN_SLACK: Millis = 600.0
+"""The timeout of the first token is twice the predicted time plus this: of the first
+tokens that arrived, 99 in 100 took at most 480 ms longer than predicted."""
+_PAUSE_FACTOR = 4.0
+"""Timeout between the events of a stream, as a multiple of its pause objective: 99 in
+100 pauses are under two times the objective, and callers disconnect after eight."""
+_DEFAULT_PAUSE_TIMEOUT: Millis = 1_200.0
+"""Timeout between the events of a stream whose route has no pause objective."""
 SHORT_RANK, LONG_RANK, LATE_RANK = 1, 3, 7
-"""Ranks at an engine; 0 is first and 9 is last."""
-_LONG_READING: Millis = 60.0
-"""A prompt that takes longer to be read is admitted after shorter ones: four short
-ones in front of it delay it less than it would delay each of them."""
-_LEAST_RETURN: Millis = 150.0
-_RETURN_PART = 0.3
-"""Callers obey up to a third of the time that they have left."""
-_SPREAD = 0.2
-"""Callers that were refused together return apart by this part either way."""
+"""Priorities of requests at an engine; 0 is served first and 9 last."""
+_LONG_PROMPT_WAIT: Millis = 60.0
+"""A prompt whose first byte is expected later than this gets a lower priority than
+shorter ones: four short prompts delay it less than it would delay each of them."""
+_MIN_RETRY_DELAY: Millis = 150.0
+_RETRY_FRACTION = 0.3
+"""Largest retry delay as a fraction of the caller's remaining time: callers follow
+a delay of up to a third of it."""
+_JITTER = 0.2
+"""Random variation of the retry delay, as a fraction in either direction, so that
+callers that were refused together do not return together."""
 
 
 def bound_try(rule: Rule, wait: Millis, left: Millis) -> Millis:
-    """Return how long a target may take to begin its answer.
+    """Return the timeout for the start of a target's answer.
 
     Parameters
     ----------
     wait
         Predicted time to the first byte.
     left
-        Time until the request's end.
+        Time until the request's deadline.
 
     Examples
     --------
@@ -55,66 +58,71 @@
     800.0
     """
     if rule.kind is RequestKind.STREAMING:
-        return wait * _FIRST_FACTOR + _FIRST_SLACK
-    return max(_LEAST_TRY, left * _TRY_PART)
+        return wait * _FIRST_TOKEN_FACTOR + _FIRST_TOKEN_SLACK
+    return max(_MIN_ATTEMPT_TIMEOUT, left * _ATTEMPT_FRACTION)
 
 
 def bound_silence(rule: Rule) -> Millis:
-    """Return the pause after which a stream's engine counts as silent."""
+    """Return the longest pause in a stream before its engine counts as hung."""
     pause = rule.pause_objective
-    return pause * _SILENCE_FACTOR if pause else _SILENCE
+    return pause * _PAUSE_FACTOR if pause else _DEFAULT_PAUSE_TIMEOUT
 
 
 def rank(rule: Rule, elapsed: Millis, wait: Millis) -> int:
-    """Return how urgent a request is at its engine.
+    """Return the priority of a request at its engine; lower is served earlier.
 
-    What can still be on time goes before what can't, and short prompts before
-    long ones.  What is late anyway is served behind, not dropped.
+    Requests that can still meet the route's objective come before those that can't,
+    and short prompts before long ones.  A late request is served last, not dropped.
 
     Parameters
     ----------
     elapsed
-        Time since the request came.
+        Time since the request arrived.
     wait
         Predicted time to the first byte.
     """
     if elapsed + wait > rule.objective:
         return LATE_RANK
-    return LONG_RANK if wait > _LONG_READING else SHORT_RANK
+    return LONG_RANK if wait > _LONG_PROMPT_WAIT else SHORT_RANK
 
 
 def find_return(wait: Millis, left: Millis, rng: random.Random) -> Millis:
-    """Return when a refused caller should come back.
+    """Return the retry delay for a refused caller, with random jitter.
 
     Parameters
     ----------
     wait
-        Time until there is room, as far as is known.
+        Expected time until capacity is available.
     left
-        Time until the request's end.
+        Time until the request's deadline.
     """
-    spread = rng.uniform(1.0 - _SPREAD, 1.0 + _SPREAD)
-    return max(_LEAST_RETURN, min(wait, left * _RETURN_PART) * spread)
+    jitter = rng.uniform(1.0 - _JITTER, 1.0 + _JITTER)
+    return max(_MIN_RETRY_DELAY, min(wait, left * _RETRY_FRACTION) * jitter)
 
 
-_EVENTS_ON_THE_WAY = 2
-"""Events that an engine makes at the most while its caller's close reaches it: they
-are at least 20 ms apart, and a close takes 5."""
+_MAX_EVENTS_IN_TRANSIT = 2
+"""Upper bound of the events that an engine produces until it learns that the
+connection was closed: events are at least 20 ms apart, and a close takes 5 ms."""
 NO_ENGINE_RETURN: Millis = 0.7 * SECOND
-"""A restart or a hand-over of an engine takes about as long."""
+"""Retry delay when no engine is available: a restart or a hand-over of an engine takes
+about this long."""
 
 
 def count_left(prompt: int, events: int, tokens_an_event: int, most: int) -> int:
-    """Return the tokens of a stream whose caller left.
+    """Return an upper bound of the tokens used by a stream whose caller disconnected.
 
     Parameters
     ----------
+    prompt
+        Tokens of the prompt.
+    events
+        Events that were received before the disconnect.
     most
-        What was set aside for the request.
+        Tokens reserved for the request.
 
     Examples
     --------
     >>> count_left(prompt=100, events=4, tokens_an_event=5, most=400)
     130
     """
-    return min(most, prompt + (events + _EVENTS_ON_THE_WAY) * tokens_an_event)
+    return min(most, prompt + (events + _MAX_EVENTS_IN_TRANSIT) * tokens_an_event)
--- a/anvilshift/core/permits.py
+++ b/anvilshift/core/permits.py
@@ -1,12 +1,13 @@
-"""Who may send the next request to a target that has named a limit.
+"""Permits to send requests to a target that announced a rate limit.
 
-One router issues the permits for a target, the same for all that see the same
-routers; the others ask it.  Equal parts for each would lie unused where callers stay
-with one router, and are less than one request where routers are many.
+For each target one router, the issuer, grants the permits, and the other routers ask
+it.  All routers that see the same routers choose the same issuer.  Equal parts of the
+limit for each router would go unused where callers stay with one router, and would be
+less than one request where there are many routers.
 
-The few permits go to what is most urgent, among equals to the organisation that got
-the fewest, then to who has asked for longest; who waits grows more urgent.  What can't
-have one in time is told so at once.
+Permits go to the most urgent request, among equals to the organisation that got the
+fewest permits, then to the request that has waited longest.  Waiting makes a request
+more urgent.  A request that can't get a permit in time is refused at once.
 """
 
 from collections import Counter, deque
@@ -19,33 +20,34 @@
 from anvilshift.core.ratelimits import Meter
 
 TAKEOVER: Millis = 300.0
-"""How long a router issues nothing after the routers that it sees have changed: the
-one that issued before may not know yet, and what it issued is reported meanwhile."""
+"""How long a router grants no permits after the routers that it sees have changed: the
+previous issuer may not have noticed the change, and the permits that it granted are
+reported meanwhile."""
 LOST_FOR: Millis = 60 * SECOND
-"""How long a router that fell silent counts as one that may be sending: the network
-may have been cut, and those on its other side then issue permits as well."""
-_AGING: Millis = 300.0
-"""Waiting that counts as much as one rank."""
-_REMEMBERED: Millis = 10 * SECOND
-"""How long an organisation's permits count against it."""
+"""How long an unreachable router is assumed to be sending: if the network is
+partitioned, the routers on the other side grant permits as well."""
+_AGING_INTERVAL: Millis = 300.0
+"""Waiting time that raises the urgency of a bid by one rank."""
+_PERMIT_MEMORY: Millis = 10 * SECOND
+"""How long a permit is counted against its organisation."""
 
 
 @dataclass(frozen=True)
 class Bid:
-    """A request that could be sent to a target.
+    """A router's request for a permit to send one request to a target.
 
     Parameters
     ----------
     run
-        Names the attempt among all routers'.
+        Identifier of the attempt, unique among all routers.
     rank
-        How urgent it is; 0 is most urgent.
+        Urgency of the request; 0 is most urgent.
     asked
-        When its router asked first.
+        When the router first asked.
     latest
-        A permit that comes later is of no use.
+        Time after which a permit is useless.
     renewed
-        When its router asked last.
+        When the router last asked.
     """
 
     run: str
@@ -57,7 +59,7 @@
 
 
 class State(Enum):
-    """What became of a bid."""
+    """State of a bid."""
 
     GRANTED = "granted"
     QUEUED = "queued"
@@ -66,12 +68,12 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    """What the issuer says to a bid.
+    """The issuer's response to a bid.
 
     Parameters
     ----------
     wait
-        Time until a permit is expected for it.
+        Time until a permit is expected for the bid.
     """
 
     run: str
@@ -79,20 +81,27 @@
     wait: Millis = 0.0
 
 
-def _age(bid: Bid, now: Millis) -> int:
-    """Return how urgent a bid has become."""
-    return bid.rank - int((now - bid.asked) / _AGING)
+def _find_effective_rank(bid: Bid, now: Millis) -> int:
+    """Return a bid's rank, lowered by the time that it has waited."""
+    return bid.rank - int((now - bid.asked) / _AGING_INTERVAL)
 
 
 class PermitDesk:
-    """Issue the permits for one target.
+    """The issuer's queue of bids for one target.
 
     Parameters
     ----------
     meter
-        What all routers sent to the target.
+        Record of the requests that all routers sent to the target.
     opens
-        No permit is issued before.
+        Time before which no permit is granted.
+
+    Attributes
+    ----------
+    issued
+        Number of granted permits.
+    refused
+        Number of refused bids.
 
     Examples
     --------
@@ -109,44 +118,48 @@
         self.refused = 0
         self._meter = meter
         self._waiting: dict[str, Bid] = {}
-        self._given: deque[tuple[Millis, str]] = deque()
-        self._counts: Counter[str] = Counter()
+        self._granted: deque[tuple[Millis, str]] = deque()
+        self._recent_permits: Counter[str] = Counter()
 
     @property
     def waiting(self) -> int:
-        """Return how many bids wait."""
+        """Return the number of waiting bids."""
         return len(self._waiting)
 
     def __contains__(self, run: str) -> bool:
         return run in self._waiting
 
     def is_of(self, meter: Meter) -> bool:
-        """Tell whether this issues the permits that a meter counts."""
+        """Return whether the permits are recorded in a given meter."""
         return self._meter is meter
 
     def find_next(self, rate: float | None, now: Millis) -> Millis:
-        """Return when the next permit may be issued."""
+        """Return when the next permit may be granted."""
         if rate is None:
             return now
         return max(self.opens, self._meter.find_next(rate, now))
 
     def ask(self, bid: Bid, rate: float | None, now: Millis) -> Verdict:
-        """Take in a bid; one that is sent again gets the same permit.
+        """Grant, queue or refuse a bid.
+
+        A bid that is sent again after its permit was granted gets the same permit.
 
         Parameters
         ----------
         rate
-            Requests a second that the target takes; None for any number.
+            Requests per second that the target accepts; None if unlimited.
         """
         if bid.run in self._meter:
             return Verdict(bid.run, State.GRANTED)
-        known = self._waiting.get(bid.run)
-        if known is not None:
-            bid = replace(bid, asked=known.asked)
+        earlier_bid = self._waiting.get(bid.run)
+        if earlier_bid is not None:
+            bid = replace(bid, asked=earlier_bid.asked)
         self._waiting[bid.run] = bid
         due = self.find_next(rate, now)
-        best = min(self._waiting.values(), key=lambda one: self._key(one, now))
-        if due <= now and best is bid:
+        next_bid = min(
+            self._waiting.values(), key=lambda one: self._order_key(one, now)
+        )
+        if due <= now and next_bid is bid:
             return self._issue(bid, now)
         gap = SECOND / rate if rate else 0.0
         expected = due + self._count_ahead(bid, now) * gap
@@ -155,43 +168,50 @@
         return Verdict(bid.run, State.QUEUED, expected - now)
 
     def serve(self, rate: float | None, now: Millis, silence: Millis) -> list[Verdict]:
-        """Return what became of bids that waited.
+        """Grant the permits that are due, and refuse bids that are too late.
 
         Parameters
         ----------
         silence
-            Bids that were not renewed for so long are nobody's any more.
+            Bids that were not renewed for this long are dropped without a verdict.
+
+        Returns
+        -------
+        list[Verdict]
+            Verdicts on the waiting bids that were granted or refused.
         """
         self.expire(now, silence)
         verdicts = []
-        for bid in self._list():
+        for bid in self._list_bids():
             if bid.latest < now:
                 verdicts.append(self._refuse(bid, self.find_next(rate, now) - now))
         while self._waiting and self.find_next(rate, now) <= now:
-            best = min(self._waiting.values(), key=lambda one: self._key(one, now))
-            verdicts.append(self._issue(best, now))
+            next_bid = min(
+                self._waiting.values(), key=lambda one: self._order_key(one, now)
+            )
+            verdicts.append(self._issue(next_bid, now))
         return verdicts
 
     def expire(self, now: Millis, silence: Millis) -> None:
-        """Forget bids that were not renewed for some time."""
-        for bid in self._list():
+        """Drop bids that were not renewed for longer than `silence`."""
+        for bid in self._list_bids():
             if now - bid.renewed > silence:
                 del self._waiting[bid.run]
 
     def withdraw(self, run: str) -> None:
-        """Take in that a bid is given up."""
+        """Drop a bid that its router no longer needs."""
         self._waiting.pop(run, None)
 
-    def _list(self) -> list[Bid]:
+    def _list_bids(self) -> list[Bid]:
         return list(self._waiting.values())
 
     def _issue(self, bid: Bid, now: Millis) -> Verdict:
         del self._waiting[bid.run]
         self._meter.add(bid.run, now)
-        self._given.append((now, bid.organisation))
-        self._counts[bid.organisation] += 1
-        while now - self._given[0][0] > _REMEMBERED:
-            self._counts[self._given.popleft()[1]] -= 1
+        self._granted.append((now, bid.organisation))
+        self._recent_permits[bid.organisation] += 1
+        while now - self._granted[0][0] > _PERMIT_MEMORY:
+            self._recent_permits[self._granted.popleft()[1]] -= 1
         self.issued += 1
         return Verdict(bid.run, State.GRANTED)
 
@@ -200,32 +220,40 @@
         self.refused += 1
         return Verdict(bid.run, State.REFUSED, max(0.0, wait))
 
-    def _key(self, bid: Bid, now: Millis) -> tuple[int, int, Millis]:
-        return _age(bid, now), self._counts[bid.organisation], bid.asked
+    def _order_key(self, bid: Bid, now: Millis) -> tuple[int, int, Millis]:
+        return (
+            _find_effective_rank(bid, now),
+            self._recent_permits[bid.organisation],
+            bid.asked,
+        )
 
     def _count_ahead(self, bid: Bid, now: Millis) -> int:
-        """Return how many that wait now get their permit before a bid.
+        """Return the number of waiting bids that get their permits before a bid.
 
-        Those that are as urgent take turns by organisation: one with many bids puts
-        only a part of them before another's first.
+        Organisations take turns among bids of the same urgency: of an organisation
+        with many bids, only some precede the first bid of another organisation.
         """
-        rank, ahead = _age(bid, now), 0
+        rank, ahead = _find_effective_rank(bid, now), 0
         peers: dict[str, list[Millis]] = {}
-        for other in self._list():
-            if _age(other, now) < rank:
+        for other in self._list_bids():
+            if _find_effective_rank(other, now) < rank:
                 ahead += 1
-            elif _age(other, now) == rank and other is not bid:
+            elif _find_effective_rank(other, now) == rank and other is not bid:
                 peers.setdefault(other.organisation, []).append(other.asked)
-        own = sum(asked < bid.asked for asked in peers.pop(bid.organisation, ()))
-        level = self._counts[bid.organisation] + own
-        for organisation, instants in peers.items():
-            turns = level - self._counts[organisation] + (min(instants) < bid.asked)
-            ahead += min(len(instants), max(0, turns))
-        return ahead + own
+        own_ahead = sum(asked < bid.asked for asked in peers.pop(bid.organisation, ()))
+        permits = self._recent_permits[bid.organisation] + own_ahead
+        for organisation, asked_times in peers.items():
+            turns_ahead = (
+                permits
+                - self._recent_permits[organisation]
+                + (min(asked_times) < bid.asked)
+            )
+            ahead += min(len(asked_times), max(0, turns_ahead))
+        return ahead + own_ahead
 
 
 class Attendance:
-    """Which routers are there, who of them issues permits, who may be behind a cut.
+    """The reachable routers, the issuer of each target, and the unreachable routers.
 
     Examples
     --------
@@ -254,14 +282,14 @@
         now: Millis,
         recorded: Collection[str] = (),
     ) -> bool:
-        """Take in which routers are there; tell whether that changed.
+        """Update the reachable routers; return whether they changed.
 
         Parameters
         ----------
         routers, leaving
-            Those that are heard, and those that said that they leave.
+            Reachable routers, and routers that announced their shutdown.
         recorded
-            Those that should be there, heard or not.
+            Routers that are registered, whether or not they are reachable.
         """
         present = frozenset(routers)
         for name in [*present, *leaving]:
@@ -277,7 +305,7 @@
     def find_issuer(self, target: str) -> str:
         """Return the router that issues the permits for a target.
 
-        The same at all routers that see the same ones.
+        All routers that see the same routers get the same result.
         """
         if target not in self._issuers:
             key = f"permits/{target}"
@@ -285,17 +313,17 @@
         return self._issuers[target]
 
     def list_issuers(self) -> dict[str, str]:
-        """Return the issuers of the targets that were asked for since a change."""
+        """Return the issuers that were looked up since the routers last changed."""
         return dict(self._issuers)
 
     def find_part(self, now: Millis) -> float:
-        """Return the part of a limit that the routers in touch may use.
+        """Return the fraction of a limit that the reachable routers may use.
 
-        Those that fell silent may go on without them, so each side of a cut keeps
-        to its part and the parts add up to the limit.
+        The unreachable routers may go on sending.  Each side of a network partition
+        keeps to its fraction, so that the fractions add up to the limit.
         """
         return len(self.routers) / max(1, len(self.routers) + self.count_lost(now))
 
     def count_lost(self, now: Millis) -> int:
-        """Return how many routers fell silent lately without a farewell."""
+        """Return how many routers recently became unreachable without a shutdown."""
         return sum(now - at < LOST_FOR for at in self._lost.values())
--- a/anvilshift/core/preparations.py
+++ b/anvilshift/core/preparations.py
@@ -1,13 +1,14 @@
-"""Hold contents back while another router sends them elsewhere than to their homes.
+"""Hold contents back while another router relocates them to a non-home target.
 
-Load pattern: both homes of a content are out of use, and a router would send it to a
-third target.  It may only if no router has sent it to a home, and none does later.
-That is a two-phase commit: every router prepares, by which it holds the content
-back, and is told in the end whether it was sent.
+Load pattern: both home targets of a content are out of use, and a router wants to send
+it to a third target.  This is safe only if no router has sent the content to a home
+target, and none does so later.  The routers agree by a two-phase commit: every router
+prepares by holding the content back, and is told in the end whether the content was
+sent.
 
-A router that is not told goes on holding the content back: it can't know whether the
-content was sent, and as long as it sends it nowhere nothing is lost but its own part
-in serving this content.
+A router that doesn't learn the outcome keeps holding the content back, because it
+can't know whether the content was sent.  While it sends the content nowhere, the only
+loss is that this router doesn't serve the content.
 """
 
 from collections import OrderedDict
@@ -15,9 +16,10 @@
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.exposure import FORGET_AFTER
 
-_MOST = 10_000
-_OVERDUE: Millis = 2 * SECOND
-"""Twice what a call between routers may take: the end will not be heard any more."""
+_MAX_HELD = 10_000
+_OUTCOME_TIMEOUT: Millis = 2 * SECOND
+"""Twice the timeout of a call between routers: after that the outcome will not arrive
+any more."""
 
 
 class Preparations:
@@ -37,25 +39,29 @@
         self._held: OrderedDict[str, tuple[str, Millis]] = OrderedDict()
 
     def hold(self, content: str, ticket: str, now: Millis) -> bool:
-        """Hold a content back; False if it is held back for another ticket."""
+        """Hold a content back for a ticket; return whether it is held for this ticket.
+
+        It is not if the content is held back for another ticket, or if the maximum
+        number of contents is held back.
+        """
         if self.is_held(content, now):
             return self._held[content][0] == ticket
-        if len(self._held) >= _MOST and not self._drop_oldest(now):
+        if len(self._held) >= _MAX_HELD and not self._drop_expired(now):
             return False
         self._held[content] = ticket, now
         return True
 
-    def _drop_oldest(self, now: Millis) -> bool:
+    def _drop_expired(self, now: Millis) -> bool:
         oldest = next(iter(self._held))
         return not self.is_held(oldest, now)
 
     def release(self, content: str, ticket: str) -> None:
-        """Hold a content back no longer for a ticket."""
+        """Release a content if it is held back for this ticket."""
         if self._held.get(content, ("", 0.0))[0] == ticket:
             del self._held[content]
 
     def is_held(self, content: str, now: Millis) -> bool:
-        """Tell whether a content is held back."""
+        """Return whether a content is held back."""
         held = self._held.get(content)
         if held is not None and now - held[1] > FORGET_AFTER:
             del self._held[content]
@@ -63,5 +69,8 @@
         return held is not None
 
     def is_overdue(self, content: str, now: Millis) -> bool:
-        """Tell whether a content is held back and its end will not be heard."""
-        return self.is_held(content, now) and now - self._held[content][1] > _OVERDUE
+        """Return whether a content is held back and its outcome will not arrive."""
+        return (
+            self.is_held(content, now)
+            and now - self._held[content][1] > _OUTCOME_TIMEOUT
+        )
--- a/anvilshift/core/queue.py
+++ b/anvilshift/core/queue.py
@@ -1,17 +1,18 @@
-"""Order waiting work: fair by tokens among organisations, then by deadline.
-
-Load pattern: one organisation sends far more than its share, or many send at
-once just before their deadlines.  Without this, first come first served gives
-the hot organisation whatever share of the engines it has of the arrivals, and
-urgent work waits behind work that has time.
-
-Organisations are served by start-time fair queueing: each has a tag, the
-tokens it was given over its weight, and the lowest tag is next.  One that was
-idle begins at the tag served last, so that it neither saves up service nor
-owes any.  Among organisations whose tags are close the earliest deadline is
-next, so that a burst that can be served in time is not refused for the sake of
-an even order.  Tags only grow, so that heaps with outdated entries need no
-search: an event costs the logarithm of what waits.
+"""Order waiting work by fair queueing among organisations, then by deadline.
+
+Load pattern: one organisation sends far more than its share, or many
+organisations send at once just before their deadlines.  In arrival order, an
+organisation's share of the engines would equal its share of the arrivals, and
+urgent work would wait behind work with a later deadline.
+
+The policy is start-time fair queueing.  Each organisation has a tag: the tokens
+that it was served, divided by its weight.  The organisation with the lowest tag is
+next.  An organisation that was idle resumes at the tag that was served last, so
+that idle time earns neither credit nor debt.  Among organisations whose tags are
+close, the earliest deadline is next; otherwise a burst that could be served in
+time would be refused only to keep the order even.  Tags never decrease, so
+outdated heap entries can be discarded when they reach the top, and an event takes
+logarithmic time in the number of waiting requests.
 
 References
 ----------
@@ -26,26 +27,36 @@
 from anvilshift.core.work import Work
 
 CLOSE = 5_000.0
-"""Tokens for each unit of weight by which an organisation may be ahead: about
-eight requests, what one sends a router in the first second of an opening
-burst."""
-_SPARE = 16
-"""Outdated heap entries that are left before a heap is rebuilt; any small
-number keeps the rebuild's cost constant for each event."""
+"""How far an organisation's tag may be above the lowest one for its work to be
+ordered by deadline, in tokens per unit of weight.  This is about eight requests,
+the number that one organisation sends to a router in the first second of an
+opening burst."""
+_OUTDATED_ENTRIES = 16
+"""Outdated heap entries that are tolerated, beyond as many as there are valid ones,
+before a heap is rebuilt; with any small number the amortised cost of rebuilding is
+constant per event."""
 
 
 @dataclass(slots=True, eq=False)
 class Entry:
-    """A request that waits or runs.
+    """A request that is waiting or running.
 
     Parameters
     ----------
     service
-        Milliseconds that it is expected to run.
+        Expected run time in milliseconds.
     cost
-        Tokens that it is expected to use.
+        Expected number of tokens.
+    is_long
+        Whether it counts as a long job, which may not take every slot of a pool.
+    attempts
+        Number of times that it was sent.
+    tried
+        Names of the targets that it was sent to.
     allowed
         The only targets that it may be sent to; None for any candidate.
+    lane
+        The organisation's queue in which it waits; None if it does not wait.
     """
 
     work: Work
@@ -59,81 +70,88 @@
 
     @property
     def waits(self) -> bool:
-        """Tell whether it is in a queue."""
+        """Return whether the request is in a queue."""
         return self.lane is not None
 
 
 class Shares:
-    """What each organisation has been given of a set of targets."""
+    """Tokens that each organisation was served by a set of targets.
+
+    Attributes
+    ----------
+    tags
+        By organisation, the tokens served divided by its weight.
+    """
 
     def __init__(self) -> None:
         self.tags: dict[str, float] = {}
-        self._served = 0.0
+        self._last_tag = 0.0
 
     def enter(self, organisation: str) -> None:
-        """Bring an organisation that was idle up to what was served last."""
+        """Raise the tag of an organisation that was idle to the tag served last."""
         tag = self.tags.get(organisation, 0.0)
-        self.tags[organisation] = max(tag, self._served)
+        self.tags[organisation] = max(tag, self._last_tag)
 
     def charge(self, organisation: str, cost: float, weight: float) -> None:
-        """Count tokens that an organisation was given."""
+        """Add the tokens of work that is served now to its organisation's tag."""
         tag = self.tags[organisation]
-        self._served = max(self._served, tag)
+        self._last_tag = max(self._last_tag, tag)
         self.tags[organisation] = tag + cost / weight
 
     def merge(self, other: "Shares") -> None:
-        """Take in what was given of another set of targets."""
+        """Combine with the tags of another set of targets; the higher tag counts."""
         for organisation, tag in other.tags.items():
             self.tags[organisation] = max(tag, self.tags.get(organisation, 0.0))
-        self._served = max(self._served, other._served)
+        self._last_tag = max(self._last_tag, other._last_tag)
 
 
 class _Lane:
-    """The waiting work of one organisation."""
+    """The queue of one organisation."""
 
     def __init__(self, queue: "FairQueue", organisation: str) -> None:
         self.queue = queue
         self.organisation = organisation
         self.count = 0
-        self._urgent: list[tuple[Millis, int, Entry]] = []
-        self._longest: list[tuple[Millis, int, Entry]] = []
+        self._by_deadline: list[tuple[Millis, int, Entry]] = []
+        self._by_length: list[tuple[Millis, int, Entry]] = []
 
     def push(self, entry: Entry, number: int) -> None:
         self.count += 1
-        heapq.heappush(self._urgent, (entry.work.deadline, number, entry))
-        heapq.heappush(self._longest, (-entry.service, number, entry))
-        self._urgent = self._rebuild(self._urgent)
-        self._longest = self._rebuild(self._longest)
+        heapq.heappush(self._by_deadline, (entry.work.deadline, number, entry))
+        heapq.heappush(self._by_length, (-entry.service, number, entry))
+        self._by_deadline = self._rebuild(self._by_deadline)
+        self._by_length = self._rebuild(self._by_length)
 
     def _rebuild(
         self, heap: list[tuple[Millis, int, Entry]]
     ) -> list[tuple[Millis, int, Entry]]:
-        if len(heap) <= 2 * self.count + _SPARE:
+        if len(heap) <= 2 * self.count + _OUTDATED_ENTRIES:
             return heap
         kept = [item for item in heap if item[2].lane is self]
         heapq.heapify(kept)
         return kept
 
-    def _top(self, heap: list[tuple[Millis, int, Entry]]) -> Entry:
+    def _find_first(self, heap: list[tuple[Millis, int, Entry]]) -> Entry:
         while heap[0][2].lane is not self:
             heapq.heappop(heap)
         return heap[0][2]
 
-    def most_urgent(self) -> Entry:
-        return self._top(self._urgent)
+    def find_most_urgent(self) -> Entry:
+        return self._find_first(self._by_deadline)
 
-    def longest(self) -> Entry:
-        return self._top(self._longest)
+    def find_longest(self) -> Entry:
+        return self._find_first(self._by_length)
 
 
 class FairQueue:
-    """Waiting work of many organisations for one set of targets.
+    """A fair queue of the work of many organisations for one set of targets.
 
     Parameters
     ----------
     shares
-        What organisations were given; queues over the same targets share it, and
-        who pushes the first work of an organisation enters it there.
+        Tokens that each organisation was served.  Queues over the same targets
+        share this object.  Before `push`, the caller must call `shares.enter` for
+        an organisation that has no other work waiting.
 
     Examples
     --------
@@ -157,76 +175,76 @@
         self.shares = shares
         self.count = 0
         self._lanes: dict[str, _Lane] = {}
-        self._heads: list[tuple[float, str]] = []
-        self._ahead: list[tuple[float, str]] = []
-        self._ready: list[tuple[Millis, str]] = []
+        self._by_tag: list[tuple[float, str]] = []
+        self._not_eligible: list[tuple[float, str]] = []
+        self._eligible: list[tuple[Millis, str]] = []
         self._numbers = itertools.count()
 
     def push(self, entry: Entry) -> None:
-        """Take in work."""
+        """Add work to the queue of its organisation."""
         name = entry.work.organisation
         lane = self._lanes.get(name)
         if lane is None:
             lane = self._lanes[name] = _Lane(self, name)
-        idle = not lane.count
+        was_idle = not lane.count
         entry.lane = lane
         lane.push(entry, next(self._numbers))
         self.count += 1
-        if idle:
-            heapq.heappush(self._heads, (self.shares.tags[name], name))
-            heapq.heappush(self._ahead, (self.shares.tags[name], name))
-        elif lane.most_urgent() is entry:
-            heapq.heappush(self._ready, (entry.work.deadline, name))
-            self._bound_ready()
+        if was_idle:
+            heapq.heappush(self._by_tag, (self.shares.tags[name], name))
+            heapq.heappush(self._not_eligible, (self.shares.tags[name], name))
+        elif lane.find_most_urgent() is entry:
+            heapq.heappush(self._eligible, (entry.work.deadline, name))
+            self._bound_eligible()
 
     def next_tag(self) -> float:
-        """Return the tag of the organisation that is next."""
-        return self.shares.tags[self._next_lane().organisation]
+        """Return the lowest tag of the organisations with waiting work."""
+        return self.shares.tags[self._find_next_lane().organisation]
 
-    def _next_lane(self) -> _Lane:
+    def _find_next_lane(self) -> _Lane:
         while True:
-            tag, name = self._heads[0]
+            tag, name = self._by_tag[0]
             lane = self._lanes[name]
             current = self.shares.tags[name]
             if not lane.count:
-                heapq.heappop(self._heads)
+                heapq.heappop(self._by_tag)
             elif current > tag:
-                heapq.heapreplace(self._heads, (current, name))
+                heapq.heapreplace(self._by_tag, (current, name))
             else:
                 return lane
 
     def peek(self) -> Entry:
-        """Return the work that is next."""
+        """Return the next work to serve, without removing it."""
         bound = self.next_tag() + CLOSE
-        while self._ahead and self._ahead[0][0] <= bound:
-            _, name = heapq.heappop(self._ahead)
+        while self._not_eligible and self._not_eligible[0][0] <= bound:
+            _, name = heapq.heappop(self._not_eligible)
             lane = self._lanes[name]
             if lane.count:
-                key = lane.most_urgent().work.deadline, name
-                heapq.heappush(self._ready, key)
+                key = lane.find_most_urgent().work.deadline, name
+                heapq.heappush(self._eligible, key)
         while True:
-            deadline, name = self._ready[0]
+            deadline, name = self._eligible[0]
             lane = self._lanes[name]
             if not lane.count:
-                heapq.heappop(self._ready)
+                heapq.heappop(self._eligible)
                 continue
-            entry = lane.most_urgent()
+            entry = lane.find_most_urgent()
             tag = self.shares.tags[name]
             if tag > bound:
-                heapq.heappop(self._ready)
-                heapq.heappush(self._ahead, (tag, name))
+                heapq.heappop(self._eligible)
+                heapq.heappush(self._not_eligible, (tag, name))
             elif entry.work.deadline != deadline:
-                heapq.heapreplace(self._ready, (entry.work.deadline, name))
+                heapq.heapreplace(self._eligible, (entry.work.deadline, name))
             else:
                 return entry
 
-    def _bound_ready(self) -> None:
-        if len(self._ready) <= 2 * len(self._lanes) + _SPARE:
+    def _bound_eligible(self) -> None:
+        if len(self._eligible) <= 2 * len(self._lanes) + _OUTDATED_ENTRIES:
             return
-        self._ready = sorted(set(self._ready))
+        self._eligible = sorted(set(self._eligible))
 
     def remove(self, entry: Entry) -> None:
-        """Remove work that waits."""
+        """Remove waiting work; do nothing if it does not wait."""
         lane = entry.lane
         if lane is None:
             return
@@ -234,23 +252,23 @@
         lane.count -= 1
         self.count -= 1
 
-    def holds(self, organisation: str) -> bool:
-        """Tell whether work of an organisation waits."""
+    def has_work_of(self, organisation: str) -> bool:
+        """Return whether an organisation has work waiting."""
         lane = self._lanes.get(organisation)
         return lane is not None and lane.count > 0
 
-    def longest_of(self, organisation: str) -> Entry:
-        """Return the longest work that an organisation has waiting."""
-        return self._lanes[organisation].longest()
+    def find_longest(self, organisation: str) -> Entry:
+        """Return an organisation's waiting work with the longest expected run time."""
+        return self._lanes[organisation].find_longest()
 
     def list_entries(self) -> list[Entry]:
-        """Return everything that waits."""
-        # Work that was passed over and put back stands twice in its heap.
+        """Return all waiting work."""
+        # Work that was skipped and pushed again is in its heap twice.
         return list(
             dict.fromkeys(
                 entry
                 for lane in self._lanes.values()
-                for _, _, entry in lane._urgent
+                for _, _, entry in lane._by_deadline
                 if entry.lane is lane
             )
         )
--- a/anvilshift/core/queueset.py
+++ b/anvilshift/core/queueset.py
@@ -1,8 +1,8 @@
-"""Keep the waiting work of one set of targets apart by who may run it.
+"""Separate the waiting work of a set of targets by the targets that may run it.
 
-Load pattern: each content may go to two targets only, and hundreds of requests wait.
-In one queue a target that falls free would find nothing for it among the first, and
-stand idle beside a long queue.
+Load pattern: each content may be sent to two targets only, and hundreds of requests
+wait.  With a single queue, a target with a free slot could find no request for it
+near the front, and would be idle although the queue is long.
 """
 
 from collections import Counter, defaultdict
@@ -12,16 +12,25 @@
 from anvilshift.core.queue import Entry, FairQueue, Shares
 
 Targets = tuple[str, ...] | None
-"""The only targets that work may reach; None for any of its candidates."""
+"""The only targets that work may be sent to; None for any of its candidates."""
 
 
 class QueueSet:
-    """The waiting work of one set of targets, a fair queue for each choice of them.
+    """Fair queues of one set of targets, one for each combination of allowed targets.
 
     Parameters
     ----------
     shares
-        What organisations were given, in whichever queue they waited.
+        Tokens that each organisation was served, from all of these queues.
+
+    Attributes
+    ----------
+    count
+        Number of waiting requests.
+    backlog
+        Sum of their expected run times.
+    weight
+        Sum of the weights of the organisations that have work waiting.
 
     Examples
     --------
@@ -40,95 +49,95 @@
         self._shares = shares
         self._queues: dict[Targets, FairQueue] = {}
         self._by_target: dict[str, dict[Targets, FairQueue]] = {}
-        self._waiting: Counter[str] = Counter()
+        self._waiting_counts: Counter[str] = Counter()
         self._weights: dict[str, float] = {}
         self._backlogs: defaultdict[str, Millis] = defaultdict(float)
 
     def set_shares(self, shares: Shares) -> None:
-        """Take in what organisations were given of a larger set of targets."""
+        """Use the shares of a larger set of targets from now on."""
         self._shares = shares
         for queue in self._queues.values():
             queue.shares = shares
 
     def push(self, entry: Entry) -> None:
-        """Take in work."""
+        """Add work to the queue of its allowed targets."""
         queue = self._queues.get(entry.allowed)
         if queue is None:
-            queue = self._open(entry.allowed)
+            queue = self._add_queue(entry.allowed)
         name = entry.work.organisation
-        if not self._waiting[name]:
+        if not self._waiting_counts[name]:
             self._shares.enter(name)
             self._weights[name] = entry.work.weight
             self.weight += entry.work.weight
         queue.push(entry)
-        self._waiting[name] += 1
+        self._waiting_counts[name] += 1
         self._backlogs[name] += entry.service
         self.count += 1
         self.backlog += entry.service
 
-    def _open(self, allowed: Targets) -> FairQueue:
+    def _add_queue(self, allowed: Targets) -> FairQueue:
         queue = self._queues[allowed] = FairQueue(self._shares)
         for name in allowed or ():
             self._by_target.setdefault(name, {})[allowed] = queue
         return queue
 
-    def _close(self, allowed: Targets) -> None:
+    def _remove_queue(self, allowed: Targets) -> None:
         del self._queues[allowed]
         for name in allowed or ():
             del self._by_target[name][allowed]
 
     def take(self, entry: Entry) -> None:
-        """Remove work that is served now and charge its organisation."""
+        """Remove work that is sent now and charge its organisation for the tokens."""
         self._shares.charge(entry.work.organisation, entry.cost, entry.work.weight)
         self.remove(entry)
 
     def remove(self, entry: Entry) -> None:
-        """Remove work that waits."""
+        """Remove waiting work; do nothing if it does not wait."""
         if not entry.waits:
             return
         queue = self._queues[entry.allowed]
         queue.remove(entry)
         if not queue.count:
-            self._close(entry.allowed)
+            self._remove_queue(entry.allowed)
         name = entry.work.organisation
-        self._waiting[name] -= 1
+        self._waiting_counts[name] -= 1
         self._backlogs[name] -= entry.service
         self.count -= 1
         self.backlog -= entry.service
-        if not self._waiting[name]:
-            del self._waiting[name], self._backlogs[name]
+        if not self._waiting_counts[name]:
+            del self._waiting_counts[name], self._backlogs[name]
             self.weight -= self._weights.pop(name)
         if not self.count:
             self.backlog = self.weight = 0.0
 
     def list_for(self, target: str) -> Iterator[FairQueue]:
-        """Return the queues that a target may serve; none is empty."""
+        """Return the non-empty queues whose work a target may run."""
         if None in self._queues:
             yield self._queues[None]
         yield from self._by_target.get(target, {}).values()
 
-    def backlog_of(self, organisation: str) -> Millis:
-        """Return the expected run time of what an organisation has waiting."""
+    def find_backlog(self, organisation: str) -> Millis:
+        """Return the expected run time of all waiting work of an organisation."""
         return self._backlogs.get(organisation, 0.0)
 
-    def least_valuable(self) -> Entry:
-        """Return what to drop when the queue is full.
+    def find_least_valuable(self) -> Entry:
+        """Return the work to drop when the queue is full.
 
-        That is the longest work of the organisation that has most waiting for
-        its weight: dropping it makes room for most answers of others.
+        This is the longest work of the organisation with the largest backlog per
+        weight: dropping it frees capacity for the most answers to others.
         """
         largest = max(
             self._backlogs, key=lambda n: self._backlogs[n] / self._weights[n]
         )
         found = [
-            queue.longest_of(largest)
+            queue.find_longest(largest)
             for queue in self._queues.values()
-            if queue.holds(largest)
+            if queue.has_work_of(largest)
         ]
         return max(found, key=lambda entry: entry.service)
 
     def drain(self) -> list[Entry]:
-        """Remove and return everything."""
+        """Remove and return all waiting work."""
         entries = [e for queue in self._queues.values() for e in queue.list_entries()]
         for entry in entries:
             self.remove(entry)
--- a/anvilshift/core/ratelimits.py
+++ b/anvilshift/core/ratelimits.py
@@ -1,13 +1,14 @@
-"""The requests a second that a target names, and how they are kept to.
+"""Rate limits that targets announce, and the request counts that enforce them.
 
-Load pattern: an engine in need takes one request a second from all routers together,
-and a popular prompt draws twenty a second to it.  Routers that each kept to the limit
-by themselves would send it as many times too much as there are routers; and what they
-sent in the moments before they learned of the limit is in the engine's count as well.
+Load pattern: an overloaded engine accepts one request per second from all routers
+together, and a popular prompt attracts twenty per second to it.  If each router kept
+to the limit independently, the engine would receive the limit multiplied by the
+number of routers.  The engine also counts the requests that were sent shortly before
+the routers learned of the limit.
 
-A limit stands until an answer to a request that was sent after it was named comes
-without one.  Then the rate grows step by step: all routers that have waited would
-otherwise come back at once.
+A limit is in force until an answer without one arrives for a request that was sent
+after the limit was announced.  Then the permitted rate grows step by step; otherwise
+all waiting routers would send at once.
 """
 
 from collections.abc import Iterable
@@ -16,33 +17,36 @@
 from anvilshift.core.clock import SECOND, Millis
 
 SPAN: Millis = 4 * SECOND
-"""A target gets no more in any such span than its limit allows in it."""
+"""Length of the sliding window in which the limit is enforced: no window of this
+length holds more requests than the limit allows in it."""
 _TOLERANCE: Millis = 500.0
-"""How early a request may come before its turn at an even pace."""
-_LEAST_RATE = 0.1
-"""Requests a second that a target gets at the least: without one in ten seconds
-nobody would learn that its limit has ended."""
-_RETURN: Millis = 5 * SECOND
-"""How long the rate grows after a limit has ended; it doubles each second."""
-_NEWS_PART = 0.1
-"""A change by less is no news to those that don't issue permits."""
-_MOST_KEPT = 2_000
-"""Requests to one target that are remembered."""
-_KEPT: Millis = SECOND / _LEAST_RATE
+"""How much earlier than an even spacing allows a request may be sent."""
+_MIN_RATE = 0.1
+"""Lowest permitted rate in requests per second: without at least one request in ten
+seconds, no router would learn that the limit has ended."""
+_RECOVERY: Millis = 5 * SECOND
+"""How long the permitted rate grows after a limit has ended, before it is unlimited;
+it doubles each second."""
+_SIGNIFICANT_CHANGE = 0.1
+"""Smallest relative change of the rate that is sent to all routers at once, rather
+than only to the one that issues the permits."""
+_MAX_RECORDS = 2_000
+"""Maximum number of recorded requests to one target."""
+_RETENTION: Millis = SECOND / _MIN_RATE
 
 
 @dataclass(frozen=True)
 class RateLimit:
-    """What a target has named.
+    """A rate limit that a target announced.
 
     Parameters
     ----------
     rate
-        Requests a second that it takes from all routers together.
+        Requests per second that the target accepts from all routers together.
     heard
-        When an answer named it last.
+        When the latest answer that announced the limit arrived.
     ended
-        When an answer came without it; None while it stands.
+        When an answer without the limit arrived; None while the limit is in force.
 
     Examples
     --------
@@ -62,37 +66,40 @@
 
     @property
     def told(self) -> Millis:
-        """Return the instant of the last news of it."""
+        """Return the time of the last information about the limit."""
         return self.heard if self.ended is None else self.ended
 
     def find_rate(self, now: Millis) -> float | None:
-        """Return the requests a second that may be sent; None for any number."""
-        rate = max(self.rate, _LEAST_RATE)
+        """Return the permitted requests per second; None if unlimited."""
+        rate = max(self.rate, _MIN_RATE)
         if self.ended is None:
             return rate
-        if now - self.ended >= _RETURN:
+        if now - self.ended >= _RECOVERY:
             return None
         return float(rate * 2 ** ((now - self.ended) / SECOND))
 
     def is_news(self, known: "RateLimit | None") -> bool:
-        """Tell whether every router should hear of this at once."""
+        """Return whether the change should be sent to all routers at once."""
         if known is None or (self.ended is None) != (known.ended is None):
             return True
-        return abs(self.rate - known.rate) > _NEWS_PART * known.rate
+        return abs(self.rate - known.rate) > _SIGNIFICANT_CHANGE * known.rate
 
 
 def learn(
     known: RateLimit | None, named: float | None, sent: Millis, now: Millis
 ) -> RateLimit | None:
-    """Return what is known of a target's limit after one of its answers.
+    """Return a target's rate limit, updated from one of its answers.
 
     Parameters
     ----------
+    known
+        The limit known so far; None if there is none.
     named
-        Requests a second that the answer names; None where it names none.
+        Requests per second that the answer announces; None if it announces none.
     sent
-        When the request was sent that it answers.  The answer to an older one may
-        have been made before the limit was.
+        When the answered request was sent.  Only a request that was sent after the
+        limit was announced can end it: the answer to an earlier one may have been
+        produced before the limit existed.
 
     Examples
     --------
@@ -110,7 +117,7 @@
 
 
 class Meter:
-    """The requests that one target got lately, from all routers that were heard.
+    """Record of recent requests to one target from all routers that report theirs.
 
     Examples
     --------
@@ -128,40 +135,44 @@
         return run in self._sends
 
     def add(self, run: str, at: Millis) -> None:
-        """Take in that a request was sent, or may be sent now; once for each."""
+        """Record a request that was sent or is permitted now.
+
+        A request that is already recorded is ignored.
+        """
         if run in self._sends:
             return
         self._sends[run] = at
-        while len(self._sends) > _MOST_KEPT or self._is_old(at):
+        while len(self._sends) > _MAX_RECORDS or self._is_old(at):
             del self._sends[next(iter(self._sends))]
 
     def _is_old(self, now: Millis) -> bool:
-        return now - next(iter(self._sends.values())) > _KEPT
+        return now - next(iter(self._sends.values())) > _RETENTION
 
     def list_since(self, instant: Millis) -> list[tuple[str, Millis]]:
-        """Return the requests that were sent since, with their instants."""
+        """Return the requests sent at or after an instant, with their send times."""
         return [(run, at) for run, at in self._sends.items() if at >= instant]
 
     def count(self, now: Millis) -> int:
-        """Return how many requests the last span holds."""
+        """Return the number of requests in the last window."""
         return len(self.list_since(now - SPAN))
 
     def find_next(self, rate: float, now: Millis) -> Millis:
         """Return when the next request may be sent.
 
-        At an even pace, a little early at the most; and never more in a span than
-        the rate allows in it, with those that were sent before it was known.
+        Requests are spaced evenly, within the tolerance, and no window holds more
+        than the rate allows, including requests that were sent before the limit
+        was known.
         """
-        most = max(1, int(rate * SPAN / SECOND))
-        sends = sorted(self._sends.values())[-most:]
-        turn = _find_turn(sends, SECOND / rate) - _TOLERANCE
-        full = sends[0] + SPAN if len(sends) == most else now
-        return max(now, turn, full)
+        max_requests = max(1, int(rate * SPAN / SECOND))
+        sends = sorted(self._sends.values())[-max_requests:]
+        due = _find_due(sends, SECOND / rate) - _TOLERANCE
+        window_free = sends[0] + SPAN if len(sends) == max_requests else now
+        return max(now, due, window_free)
 
 
-def _find_turn(sends: Iterable[Millis], gap: Millis) -> Millis:
-    """Return the turn of the next request, each a gap after the one before."""
-    turn = float("-inf")
+def _find_due(sends: Iterable[Millis], gap: Millis) -> Millis:
+    """Return when the next request is due if requests are at least a gap apart."""
+    due = float("-inf")
     for at in sends:
-        turn = max(turn, at) + gap
-    return turn
+        due = max(due, at) + gap
+    return due
--- a/anvilshift/core/retries.py
+++ b/anvilshift/core/retries.py
@@ -1,29 +1,35 @@
-"""Bound how much retried work adds to the load.
+"""Limit the load that retries add.
 
 Load pattern: targets fail, and every failed attempt is sent again.  Without a
-bound, a fleet that fails because it is overloaded gets several times the load
-and stays down.
+limit, a fleet that fails because it is overloaded receives several times the load
+and doesn't recover.
 
-Whole answers earn retries, so that in the long run at most one request in five
-is a retry, and a reserve covers a burst.  Attempts that never reached a target
-cost it nothing and are not counted.
+Each complete answer adds part of a retry to the budget: in the long run there is at
+most one retry for every five complete answers.  A reserve covers bursts of failures.
+Attempts that never reached a target put no load on it and are not counted.
 """
 
 from anvilshift.core.backoff import Backoff
 from anvilshift.core.work import Failure
 
-_EARNED = 0.2
-"""Retries earned by a whole answer: with a target in five failing, all of its
-work can go elsewhere; with more, admission has less to offer anyway."""
+_EARNED_PER_ANSWER = 0.2
+"""Retries added by a complete answer: if one target in five fails, all of its work can
+be sent elsewhere; if more fail, admission accepts less work anyway."""
 _RESERVE = 30.0
-"""What a router has in flight at three lost engines of eight slots, shared by
-four routers, is 6; five times that also covers a fleet of one router."""
+"""Maximum of the budget.  When three engines of eight slots that are shared by four
+routers fail, a router has 6 requests in flight there; five times that also covers a
+fleet of one router."""
 BACKOFF = Backoff(base=50.0, limit=2_000.0)
-"""Between tries at the same target; a restart takes seconds."""
+"""Delay between attempts at the same target; a restart takes seconds."""
 
 
 class RetryBudget:
-    """Retries that may be made.
+    """Budget of retries, which complete answers refill.
+
+    Parameters
+    ----------
+    reserve
+        Initial and maximum number of retries.
 
     Examples
     --------
@@ -36,22 +42,22 @@
 
     def __init__(self, reserve: float = _RESERVE) -> None:
         self._reserve = reserve
-        self._left = reserve
+        self._available = reserve
 
     def limit(self, reserve: float) -> None:
-        """Take in the reserve anew: it is shared by as many routers as there are."""
+        """Set the reserve, which depends on the number of routers that share it."""
         self._reserve = reserve
-        self._left = min(self._left, reserve)
+        self._available = min(self._available, reserve)
 
     def earn(self) -> None:
-        """Count a whole answer."""
-        self._left = min(self._reserve, self._left + _EARNED)
+        """Add the part of a retry that a complete answer earns."""
+        self._available = min(self._reserve, self._available + _EARNED_PER_ANSWER)
 
     def take(self, failure: Failure) -> bool:
-        """Take a retry; False when there is none."""
+        """Return whether a failed attempt may be retried, and count the retry."""
         if failure is Failure.NOT_SENT:
             return True
-        if self._left < 1.0:
+        if self._available < 1.0:
             return False
-        self._left -= 1.0
+        self._available -= 1.0
         return True
--- a/anvilshift/core/timers.py
+++ b/anvilshift/core/timers.py
@@ -1,4 +1,7 @@
-"""Things to do at instants, for a core that has no timers of its own."""
+"""Timers that run when the caller advances the time.
+
+The core reads no clock and runs no event loop; its caller passes the current time.
+"""
 
 import heapq
 import itertools
@@ -7,11 +10,11 @@
 from anvilshift.core.clock import Millis
 from anvilshift.core.work import Actions
 
-Due = Callable[[Millis], Actions]
+Callback = Callable[[Millis], Actions]
 
 
 class Timers:
-    """What is due, by instant.
+    """A priority queue of callbacks, ordered by the time at which they are due.
 
     Examples
     --------
@@ -22,21 +25,21 @@
     """
 
     def __init__(self) -> None:
-        self._due: list[tuple[Millis, int, Due]] = []
+        self._queue: list[tuple[Millis, int, Callback]] = []
         self._numbers = itertools.count()
 
-    def at(self, instant: Millis, act: Due) -> None:
-        """Do something at an instant."""
-        heapq.heappush(self._due, (instant, next(self._numbers), act))
+    def at(self, instant: Millis, callback: Callback) -> None:
+        """Schedule a callback, which receives the time at which it is run."""
+        heapq.heappush(self._queue, (instant, next(self._numbers), callback))
 
     def first(self) -> Millis | None:
-        """Return the instant of what is due first."""
-        return self._due[0][0] if self._due else None
+        """Return the time of the earliest callback; None if there is none."""
+        return self._queue[0][0] if self._queue else None
 
     def run(self, now: Millis) -> Actions:
-        """Do everything that is due."""
+        """Run all callbacks that are due and return their actions."""
         actions: Actions = []
-        while self._due and self._due[0][0] <= now:
-            _, _, act = heapq.heappop(self._due)
-            actions += act(now)
+        while self._queue and self._queue[0][0] <= now:
+            _, _, callback = heapq.heappop(self._queue)
+            actions += callback(now)
         return actions
--- a/anvilshift/core/work.py
+++ b/anvilshift/core/work.py
@@ -1,4 +1,4 @@
-"""The events that the dispatcher takes and the actions that it returns."""
+"""Data types of the dispatcher: its input events and the actions that it returns."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -10,15 +10,15 @@
 
 @dataclass(frozen=True)
 class Target:
-    """An engine or plain service as the dispatcher sees it.
+    """An engine or plain service, as far as the dispatcher needs to know it.
 
     Parameters
     ----------
     slots
-        Requests that it runs at once, as declared.
+        Number of requests that it runs concurrently, as declared.
     serves
-        Names of what it serves; targets that have none in common never stand in
-        for one another.  Empty if that is not known.
+        Names of what it serves, or empty if unknown.  Targets without a common
+        name never replace one another.
     """
 
     name: str
@@ -34,20 +34,22 @@
     Parameters
     ----------
     candidates
-        By target name, the priority that the policies give this work there.
+        Priority of this work at each candidate target, by target name, as the
+        policies set it.
     prompt_tokens, answer_tokens
-        Upper bounds; the answer's bound is what the caller asked for.
+        Upper bounds; the caller sets the bound of the answer.
     deadline
-        Instant after which the answer is of no use.
+        Time after which the answer is useless to the caller.
     prefixes
         Digests of the prompt's leading blocks, shortest prefix first.
     content
-        Digest of what is to run, equal for a request that is sent again under
-        another id.
+        Digest of the request's content; the same when a caller sends the request
+        again under another id.
     idempotent
-        Whether it may be sent again after it may have run.
+        Whether the request may be sent again when it may have run already.
     route
-        The route that was called; with the organisation it fixes the candidates.
+        The route that was called; the route and the organisation determine the
+        candidates.
     """
 
     identity: str
@@ -65,7 +67,7 @@
 
 
 class Failure(Enum):
-    """How an attempt ended without an answer."""
+    """Why an attempt ended without an answer."""
 
     NOT_SENT = "not sent"
     REJECTED = "rejected"
@@ -76,19 +78,22 @@
 
 
 NEVER_RAN = (Failure.NOT_SENT, Failure.REJECTED)
-"""Ends of an attempt after which its target provably did nothing."""
+"""Failures that prove that the target did not start the request."""
 
 
 @dataclass(frozen=True)
 class LoadReport:
-    """What a target says of its load, as of an instant in the past.
+    """A target's report of its load at a time in the past.
 
     Parameters
     ----------
+    as_of
+        Time that the figures describe.
     leaving
-        Whether it says that it takes no new work.
+        Whether the target accepts no new work because it is shutting down.
     limit
-        Requests a second that it takes from all routers together; None for any.
+        Requests per second that it accepts from all routers together; None for no
+        limit.
     """
 
     target: str
@@ -103,12 +108,12 @@
 
 @dataclass(frozen=True)
 class CacheEvent:
-    """A target stored or evicted prefix blocks.
+    """A report that a target stored or evicted prefix blocks.
 
     Parameters
     ----------
     sequence
-        Number of the event at its target; a gap means that events are lost.
+        Sequence number at the target; a gap means that events were lost.
     """
 
     target: str
@@ -129,7 +134,13 @@
 
 @dataclass(frozen=True)
 class Refuse:
-    """Answer the caller at once: the work is given up."""
+    """Reject the work: answer the caller with an error now.
+
+    Parameters
+    ----------
+    retry_after
+        Milliseconds after which the caller should try again.
+    """
 
     identity: str
     code: Code
@@ -139,7 +150,7 @@
 
 @dataclass(frozen=True)
 class Cancel:
-    """Stop an attempt that has not begun to answer; another `Send` follows."""
+    """Cancel an attempt that has not begun to answer; another `Send` follows."""
 
     identity: str
     target: str
@@ -153,7 +164,8 @@
     Parameters
     ----------
     times
-        Crashes there that the content is blamed for; 0 if it merely ran there.
+        Crashes of the target that are attributed to the content; 0 if it was only
+        running there.
     """
 
     content: str
@@ -163,12 +175,12 @@
 
 @dataclass(frozen=True)
 class Ask:
-    """Ask all other routers whether a content may go to a target that is no home.
+    """Ask all other routers whether a content may be sent to a non-home target.
 
     Parameters
     ----------
     ticket
-        Names the question among those of this router.
+        Identifies this question among those that this router asks.
     """
 
     content: str
@@ -182,20 +194,20 @@
 
 @dataclass(frozen=True)
 class DispatchSettings:
-    """The dispatcher's figures; each policy module explains its own.
+    """Settings of the dispatcher; the policy modules define their own constants.
 
     Parameters
     ----------
     failure_domain
-        Where this router runs.
+        Failure domain in which this router runs.
     queue_length
-        Most requests that wait at once.
+        Maximum number of waiting requests.
     attempts
-        Most times that one request is sent.
+        Maximum number of times that one request is sent.
     routers
-        Routers that share the targets, as far as this one knows.
+        Number of routers that share the targets, as far as this one knows.
     asks
-        Whether the other routers can be asked.
+        Whether this router has a way to ask the other routers; see `Ask`.
     """
 
     failure_domain: str = ""
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Decisions under load, judged by what callers receive."""
+"""Tests of the dispatcher's decisions under load, by what callers receive."""
 
 import random
 import unittest
@@ -26,15 +26,15 @@
 
 def make_work(identity, organisation="org", deadline=60_000.0, **rest):
     candidates = rest.pop("candidates", {"e1": 0})
-    given = {"prompt_tokens": 10, "answer_tokens": 10, "request_class": "advice"}
-    given |= rest
+    fields = {"prompt_tokens": 10, "answer_tokens": 10, "request_class": "advice"}
+    fields |= rest
     return Work(
-        identity, organisation, candidates=candidates, deadline=deadline, **given
+        identity, organisation, candidates=candidates, deadline=deadline, **fields
     )
 
 
-class Bench:
-    """Engines that answer each request whole after a fixed span."""
+class Harness:
+    """A dispatcher with engines that complete each answer after a fixed time."""
 
     def __init__(self, engines=1, slots=1, **settings):
         self.dispatcher = Dispatcher(DispatchSettings(**settings), random.Random(0))
@@ -65,8 +65,8 @@
         self.now += span
         self.take(self.dispatcher.done(identity, tokens, self.now))
 
-    def teach(self, answers=30, span=100.0):
-        """Let the dispatcher learn that an answer takes a span."""
+    def learn_durations(self, answers=30, span=100.0):
+        """Let the dispatcher observe answers that take a given time."""
         for index in range(answers):
             self.arrive(f"t{index}", "teacher", deadline=self.now + 60_000)
             self.finish(f"t{index}", span)
@@ -74,197 +74,207 @@
 
 
 class OverloadTest(unittest.TestCase):
-    def test_hopeless_work_is_refused_on_arrival_and_says_when_to_come_back(self):
-        """Fifty callers send a second's work each has 400 ms for.
+    def test_work_that_cannot_be_in_time_is_refused_on_arrival_with_a_retry_delay(self):
+        """Guards against requests that wait although they can't be answered in time.
 
-        One engine answers ten a second.  Those that can't be answered must
-        hear it at once, and what is sent must still end in time.
+        Fifty requests with 400 ms left arrive at an engine that answers ten a
+        second.  Those that can't be answered in time must be refused on arrival,
+        with differing retry delays of at least 250 ms; what is sent must still end
+        in time.
         """
-        bench = Bench()
-        bench.teach()
+        harness = Harness()
+        harness.learn_durations()
         for index in range(50):
-            bench.arrive(f"r{index}", deadline=bench.now + 400)
-        self.assertGreaterEqual(len(bench.refused), 45)
-        for refusal in bench.refused.values():
+            harness.arrive(f"r{index}", deadline=harness.now + 400)
+        self.assertGreaterEqual(len(harness.refused), 45)
+        for refusal in harness.refused.values():
             self.assertIs(refusal.code, OVERLOADED)
             self.assertGreaterEqual(refusal.retry_after, 250.0)
-        spans = {refusal.retry_after for refusal in bench.refused.values()}
+        spans = {refusal.retry_after for refusal in harness.refused.values()}
         self.assertGreater(len(spans), 10)
 
     def test_work_that_waited_too_long_is_refused_before_its_deadline(self):
-        bench = Bench()
-        bench.teach()
-        bench.arrive("runs")
-        bench.arrive("waits", deadline=bench.now + 1_000)
-        due = bench.dispatcher.next_tick(bench.now)
-        while due is not None and not bench.refused:
-            bench.take(bench.dispatcher.tick(due))
-            due = bench.dispatcher.next_tick(due)
-        self.assertIs(bench.refused["waits"].code, OVERLOADED)
+        harness = Harness()
+        harness.learn_durations()
+        harness.arrive("runs")
+        harness.arrive("waits", deadline=harness.now + 1_000)
+        due = harness.dispatcher.next_tick(harness.now)
+        while due is not None and not harness.refused:
+            harness.take(harness.dispatcher.tick(due))
+            due = harness.dispatcher.next_tick(due)
+        self.assertIs(harness.refused["waits"].code, OVERLOADED)
         self.assertGreater(due or 0.0, 0.0)
 
-    def test_past_deadline_is_refused_with_when_to_come_back(self):
-        bench = Bench()
-        bench.arrive("late", deadline=0.0)
-        self.assertIs(bench.refused["late"].code, PAST_DEADLINE)
-        self.assertGreater(bench.refused["late"].retry_after, 0)
+    def test_past_deadline_is_refused_with_a_retry_delay(self):
+        harness = Harness()
+        harness.arrive("late", deadline=0.0)
+        self.assertIs(harness.refused["late"].code, PAST_DEADLINE)
+        self.assertGreater(harness.refused["late"].retry_after, 0)
 
     def test_full_queue_drops_the_hot_organisations_longest_work(self):
-        """One organisation fills the queue, then another sends its first work.
+        """Guards against refusing a quiet organisation for another one's backlog.
 
-        A queue that dropped the newest would refuse the quiet one.
+        One organisation fills the queue, then another sends its first request.  A
+        queue that dropped the newest entry would refuse the quiet organisation.
         """
-        bench = Bench(queue_length=3)
-        bench.arrive("runs", "hot")
+        harness = Harness(queue_length=3)
+        harness.arrive("runs", "hot")
         for name, tokens in (("a", 10), ("b", 90), ("c", 20)):
-            bench.arrive(name, "hot", answer_tokens=tokens)
-        bench.arrive("quiet", "quiet")
-        self.assertEqual(list(bench.refused), ["b"])
+            harness.arrive(name, "hot", answer_tokens=tokens)
+        harness.arrive("quiet", "quiet")
+        self.assertEqual(list(harness.refused), ["b"])
 
     def test_high_priority_is_served_first_and_dropped_last(self):
-        bench = Bench(queue_length=2)
-        bench.arrive("runs")
-        bench.arrive("low", "low")
+        harness = Harness(queue_length=2)
+        harness.arrive("runs")
+        harness.arrive("low", "low")
         for name in ("h1", "h2"):
-            bench.arrive(name, "high", candidates={"e1": 9})
-        self.assertEqual(list(bench.refused), ["low"])
-        bench.finish("runs")
-        self.assertEqual(bench.order, ["runs", "h1"])
+            harness.arrive(name, "high", candidates={"e1": 9})
+        self.assertEqual(list(harness.refused), ["low"])
+        harness.finish("runs")
+        self.assertEqual(harness.order, ["runs", "h1"])
 
 
 class FairnessTest(unittest.TestCase):
     def test_burst_is_served_by_earliest_deadline(self):
-        bench = Bench()
-        bench.arrive("runs")
+        harness = Harness()
+        harness.arrive("runs")
         for name, deadline in (("later", 9_000.0), ("soon", 5_000.0)):
-            bench.arrive(name, f"org-{name}", deadline=deadline)
-        bench.finish("runs")
-        self.assertEqual(bench.order, ["runs", "soon"])
+            harness.arrive(name, f"org-{name}", deadline=deadline)
+        harness.finish("runs")
+        self.assertEqual(harness.order, ["runs", "soon"])
 
-    def test_hot_caller_gets_its_share_and_no_more(self):
-        """One organisation sends ten times as much, each with less time left.
+    def test_hot_organisation_gets_its_share_and_no_more(self):
+        """Guards against one organisation taking nearly all of an engine.
 
-        By arrival or by deadline alone it would take nearly all of the engine.
+        It sends ten times as many requests as another, with earlier deadlines, so
+        ordering by arrival or by deadline alone would serve almost only its own.
         """
-        bench = Bench()
+        harness = Harness()
         for index in range(200):
             for _ in range(10):
                 name = f"h{index}-{_}"
-                bench.arrive(name, "hot", prompt_tokens=1_000, deadline=50_000.0)
-            bench.arrive(f"q{index}", "quiet", prompt_tokens=1_000)
+                harness.arrive(name, "hot", prompt_tokens=1_000, deadline=50_000.0)
+            harness.arrive(f"q{index}", "quiet", prompt_tokens=1_000)
         served = Counter()
         for _ in range(100):
-            identity = next(iter(bench.sent))
+            identity = next(iter(harness.sent))
             served[identity[0]] += 1
-            bench.finish(identity, span=1.0)
+            harness.finish(identity, span=1.0)
         self.assertLessEqual(abs(served["h"] - served["q"]), 8)
 
     def test_weight_gives_a_larger_share(self):
-        bench = Bench()
+        harness = Harness()
         for index in range(200):
             for name, weight in (("a", 1.0), ("b", 3.0)):
                 identity = f"{name}{index}"
-                bench.arrive(identity, name, weight=weight, prompt_tokens=10_000)
+                harness.arrive(identity, name, weight=weight, prompt_tokens=10_000)
         served = Counter()
         for _ in range(80):
-            identity = next(iter(bench.sent))
+            identity = next(iter(harness.sent))
             served[identity[0]] += 1
-            bench.finish(identity, span=1.0)
+            harness.finish(identity, span=1.0)
         self.assertLessEqual(abs(served["b"] - 60), 3)
 
     def test_long_jobs_leave_slots_to_short_ones(self):
-        """Long jobs arrive first on a nearly idle fleet, then short work comes.
+        """Guards against short work that waits for long jobs to end.
 
-        Short callers must not wait for the end of a long job.
+        Long jobs arrive first on a nearly idle fleet; the short request that follows
+        must find a free slot.
         """
-        bench = Bench(engines=5, slots=2)
-        bench.teach()
+        harness = Harness(engines=5, slots=2)
+        harness.learn_durations()
         for index in range(15):
-            bench.arrive(f"long{index}", "batch", answer_tokens=1_000)
-        self.assertEqual(len(bench.sent), 7)
-        bench.arrive("short", "clerk", deadline=bench.now + 500)
-        self.assertIn("short", bench.sent)
+            harness.arrive(f"long{index}", "batch", answer_tokens=1_000)
+        self.assertEqual(len(harness.sent), 7)
+        harness.arrive("short", "clerk", deadline=harness.now + 500)
+        self.assertIn("short", harness.sent)
 
 
 class TargetTest(unittest.TestCase):
     def test_slow_target_gets_no_more_work_and_is_probed_later(self):
-        """An engine of five turns ten times slower; nothing fails.
+        """Guards against sending work to an engine that is slow but doesn't fail.
 
-        Callers placed there would wait until their deadlines.
+        One engine of five becomes ten times slower.  Requests placed there would
+        wait until their deadlines.
         """
-        bench = Bench(engines=5, slots=8)
-        bench.teach()
+        harness = Harness(engines=5, slots=8)
+        harness.learn_durations()
         for index in range(20):
-            bench.arrive(f"r{index}")
-        slow = [name for name, send in bench.sent.items() if send.target == "e1"]
+            harness.arrive(f"r{index}")
+        slow = [name for name, send in harness.sent.items() if send.target == "e1"]
         for index, name in enumerate(slow):
-            at = bench.now + 1_000 + index
-            bench.take(bench.dispatcher.first_token(name, at))
-        before = set(bench.sent)
+            at = harness.now + 1_000 + index
+            harness.take(harness.dispatcher.first_token(name, at))
+        before = set(harness.sent)
         for index in range(16):
-            bench.arrive(f"s{index}")
-        new = [s for name, s in bench.sent.items() if name not in before]
+            harness.arrive(f"s{index}")
+        new = [s for name, s in harness.sent.items() if name not in before]
         self.assertEqual(len(new), 16)
         self.assertNotIn("e1", {send.target for send in new})
-        bench.take(bench.dispatcher.tick(bench.now + 5_000))
-        for name in list(bench.sent):
-            bench.finish(name)
+        harness.take(harness.dispatcher.tick(harness.now + 5_000))
+        for name in list(harness.sent):
+            harness.finish(name)
         for index in range(20):
-            bench.arrive(f"p{index}", deadline=bench.now + 60_000)
-        targets = Counter(send.target for send in bench.sent.values())
+            harness.arrive(f"p{index}", deadline=harness.now + 60_000)
+        targets = Counter(send.target for send in harness.sent.values())
         self.assertEqual(targets["e1"], 1)
 
     def test_work_at_a_hung_target_is_sent_elsewhere(self):
-        """An engine takes a request and never answers a token.
+        """Guards against waiting for a hung engine while others are idle.
 
-        Its caller would wait until the deadline while others are idle; work
-        that may not run twice must wait all the same.
+        An engine accepts a request and never sends a token.  The request must be
+        sent to another engine, unless it is not idempotent.
         """
-        bench = Bench(engines=3, slots=4)
-        bench.teach()
-        bench.arrive("asks", deadline=bench.now + 5_000)
-        bench.arrive("orders", deadline=bench.now + 5_000, idempotent=False)
-        first = bench.sent["asks"].target
-        actions = bench.take(bench.dispatcher.tick(bench.now + 1_000))
+        harness = Harness(engines=3, slots=4)
+        harness.learn_durations()
+        harness.arrive("asks", deadline=harness.now + 5_000)
+        harness.arrive("orders", deadline=harness.now + 5_000, idempotent=False)
+        first = harness.sent["asks"].target
+        actions = harness.take(harness.dispatcher.tick(harness.now + 1_000))
         self.assertEqual([a.identity for a in actions], ["asks", "asks"])
         self.assertIsInstance(actions[0], Cancel)
-        self.assertNotEqual(bench.sent["asks"].target, first)
-        self.assertEqual(bench.sent["asks"].attempt, 2)
+        self.assertNotEqual(harness.sent["asks"].target, first)
+        self.assertEqual(harness.sent["asks"].attempt, 2)
 
-    def test_failing_target_is_left_and_its_work_answered_elsewhere(self):
-        bench = Bench(engines=4, slots=8)
+    def test_failing_target_is_avoided_and_its_work_answered_elsewhere(self):
+        harness = Harness(engines=4, slots=8)
         for index in range(40):
-            bench.arrive(f"r{index}", content=f"c{index}")
+            harness.arrive(f"r{index}", content=f"c{index}")
             while (
-                bench.sent.get(f"r{index}") and bench.sent[f"r{index}"].target == "e1"
+                harness.sent.get(f"r{index}")
+                and harness.sent[f"r{index}"].target == "e1"
             ):
-                bench.now += 1
+                harness.now += 1
                 name = f"r{index}"
-                bench.take(bench.dispatcher.failed(name, Failure.NOT_SENT, bench.now))
-            bench.finish(f"r{index}", span=10.0)
-        self.assertEqual(bench.refused, {})
-        attempts = Counter(bench.order)
+                harness.take(
+                    harness.dispatcher.failed(name, Failure.NOT_SENT, harness.now)
+                )
+            harness.finish(f"r{index}", span=10.0)
+        self.assertEqual(harness.refused, {})
+        attempts = Counter(harness.order)
         self.assertLessEqual(sum(count - 1 for count in attempts.values()), 3)
 
     def test_only_target_is_never_ejected(self):
-        bench = Bench()
+        harness = Harness()
         for index in range(5):
-            bench.arrive(f"r{index}", idempotent=False)
-            bench.dispatcher.failed(f"r{index}", Failure.BROKE_OFF, bench.now)
-        bench.arrive("next")
-        self.assertIn("next", bench.sent)
-
-    def test_leaving_targets_waiting_work_is_refused_at_once(self):
-        bench = Bench()
-        bench.arrive("runs")
-        bench.arrive("waits")
-        bench.take(bench.dispatcher.leaving("e1", 0.0))
-        self.assertIs(bench.refused["waits"].code, NO_ENGINE)
+            harness.arrive(f"r{index}", idempotent=False)
+            harness.dispatcher.failed(f"r{index}", Failure.BROKE_OFF, harness.now)
+        harness.arrive("next")
+        self.assertIn("next", harness.sent)
+
+    def test_work_waiting_for_a_leaving_target_is_refused_at_once(self):
+        harness = Harness()
+        harness.arrive("runs")
+        harness.arrive("waits")
+        harness.take(harness.dispatcher.leaving("e1", 0.0))
+        self.assertIs(harness.refused["waits"].code, NO_ENGINE)
 
     def test_forty_routers_do_not_overfill_an_engine(self):
-        """Forty routers hear at once that an engine of eight slots is idle.
+        """Guards against forty routers that each fill the same engine.
 
-        If each filled it, 320 requests would stand there and time out.
+        All of them receive the report that an engine with eight slots is idle.  If
+        each filled it, 320 requests would queue there and time out.
         """
         sent = 0
         for seed in range(40):
@@ -280,63 +290,65 @@
 
 
 class PoisonTest(unittest.TestCase):
-    def test_poison_costs_two_engines_and_neighbours_are_still_answered(self):
-        """A request crashes each engine that runs it; its caller sends it again.
+    def test_poison_crashes_two_engines_and_other_work_is_still_answered(self):
+        """Guards against a request that crashes engine after engine.
 
-        Work that ran beside it breaks off too and must be answered elsewhere.
+        The request crashes each engine that runs it, and its caller retries it.
+        Other requests that ran on those engines fail too and must be answered
+        elsewhere.
         """
-        bench = Bench(engines=6, slots=4)
+        harness = Harness(engines=6, slots=4)
         for index in range(12):
-            bench.arrive(f"r{index}", content=f"c{index}")
+            harness.arrive(f"r{index}", content=f"c{index}")
         lost = Counter()
         for index in range(10):
             name = f"poison{index}"
-            bench.arrive(name, content="poison")
-            while name in bench.sent and name not in bench.refused:
-                target = bench.sent[name].target
+            harness.arrive(name, content="poison")
+            while name in harness.sent and name not in harness.refused:
+                target = harness.sent[name].target
                 lost[target] += 1
-                bench.now += 1
-                neighbours = [n for n, s in bench.sent.items() if s.target == target]
+                harness.now += 1
+                neighbours = [n for n, s in harness.sent.items() if s.target == target]
                 for other in neighbours:
-                    del bench.sent[other]
+                    del harness.sent[other]
                 for other in neighbours:
                     failure = Failure.BROKE_OFF
-                    bench.take(bench.dispatcher.failed(other, failure, bench.now))
+                    harness.take(harness.dispatcher.failed(other, failure, harness.now))
         self.assertEqual(lost.total(), 2)
-        self.assertIs(bench.refused["poison9"].code, QUARANTINED)
-        self.assertEqual({n[0] for n in bench.refused}, {"p"})
-        for name in [n for n in bench.order if n.startswith("r")]:
-            if name in bench.sent:
-                bench.finish(name)
-        self.assertEqual(bench.sent, {})
-
-    def test_poison_that_waits_is_refused_when_it_is_found_out(self):
-        bench = Bench(engines=1)
-        bench.arrive("runs")
-        bench.arrive("waits", content="poison")
+        self.assertIs(harness.refused["poison9"].code, QUARANTINED)
+        self.assertEqual({n[0] for n in harness.refused}, {"p"})
+        for name in [n for n in harness.order if n.startswith("r")]:
+            if name in harness.sent:
+                harness.finish(name)
+        self.assertEqual(harness.sent, {})
+
+    def test_waiting_poison_is_refused_once_it_is_quarantined(self):
+        harness = Harness(engines=1)
+        harness.arrive("runs")
+        harness.arrive("waits", content="poison")
         for target in ("e8", "e9"):
-            bench.dispatcher.crashed("poison", target, 1.0)
-        bench.finish("runs")
-        self.assertIs(bench.refused["waits"].code, QUARANTINED)
+            harness.dispatcher.crashed("poison", target, 1.0)
+        harness.finish("runs")
+        self.assertIs(harness.refused["waits"].code, QUARANTINED)
 
     def test_targets_change_while_work_waits(self):
-        bench = Bench()
-        bench.arrive("runs")
+        harness = Harness()
+        harness.arrive("runs")
         candidates = {"e1": 0, "e2": 0}
-        bench.arrive("waits", candidates=candidates)
+        harness.arrive("waits", candidates=candidates)
         targets = [Target("e2", "north", 1)]
-        bench.take(bench.dispatcher.configure(targets, 1.0))
-        self.assertEqual(bench.sent["waits"].target, "e2")
-        bench.take(bench.dispatcher.failed("runs", Failure.BROKE_OFF, 2.0))
-        self.assertIs(bench.refused["runs"].code, ENGINE_FAILED)
-
-    def test_news_of_other_routers_quarantines_too(self):
-        bench = Bench(engines=3)
-        bench.dispatcher.crashed("poison", "e1", 0.0)
-        bench.dispatcher.crashed("poison", "e2", 10_000.0)
-        bench.now = 11_000.0
-        bench.arrive("again", content="poison")
-        self.assertIs(bench.refused["again"].code, QUARANTINED)
+        harness.take(harness.dispatcher.configure(targets, 1.0))
+        self.assertEqual(harness.sent["waits"].target, "e2")
+        harness.take(harness.dispatcher.failed("runs", Failure.BROKE_OFF, 2.0))
+        self.assertIs(harness.refused["runs"].code, ENGINE_FAILED)
+
+    def test_crashes_reported_by_other_routers_lead_to_quarantine(self):
+        harness = Harness(engines=3)
+        harness.dispatcher.crashed("poison", "e1", 0.0)
+        harness.dispatcher.crashed("poison", "e2", 10_000.0)
+        harness.now = 11_000.0
+        harness.arrive("again", content="poison")
+        self.assertIs(harness.refused["again"].code, QUARANTINED)
 
 
 if __name__ == "__main__":
--- a/tests/core/test_dispatcher_poison.py
+++ b/tests/core/test_dispatcher_poison.py
@@ -1,4 +1,4 @@
-"""What one content may cost, whatever else fails beside it."""
+"""Tests that one content crashes at most two engines, whatever else fails."""
 
 import random
 import unittest
@@ -24,12 +24,17 @@
 
 
 class Fleet:
-    """Routers without sockets before engines that crash on a poison.
+    """Simulated routers with engines that crash when they run a poison request.
 
     Parameters
     ----------
     told
-        Whether the routers hear each other's news.
+        Whether the routers receive each other's reports of crashes.
+
+    Attributes
+    ----------
+    lost
+        Engines that the poison crashed, in order.
     """
 
     def __init__(self, seed, routers=1, told=True):
@@ -71,10 +76,10 @@
                 router.crashed(news.content, news.target, self.now, times=news.times)
 
     def crash(self, target):
-        """Break off all that runs at an engine, in any order."""
-        fallen = [name for name, (_, at) in self.running.items() if at == target]
-        self.rng.shuffle(fallen)
-        for name in fallen:
+        """Fail everything that runs at an engine, in random order."""
+        failing = [name for name, (_, at) in self.running.items() if at == target]
+        self.rng.shuffle(failing)
+        for name in failing:
             self.fail(name, Failure.BROKE_OFF)
 
     def fail(self, name, failure):
@@ -82,7 +87,7 @@
         self.take(router, self.routers[router].failed(name, failure, self.now))
 
     def run_poison(self, names):
-        """Let each engine that has the poison crash until none has."""
+        """Crash engines that run the poison until none has run it for a while."""
         until = self.now + NEWS_SPAN
         while self.now < until:
             self.now += 10.0
@@ -95,7 +100,7 @@
                 self.crash(target)
 
     def step(self):
-        """Let something happen that has nothing to do with the poison."""
+        """Simulate a random event that is unrelated to the poison."""
         self.now += self.rng.expovariate(1 / 200)
         router = self.rng.randrange(len(self.routers))
         kind = self.rng.choice("aaaacbdddfx")
@@ -126,8 +131,8 @@
 class PoisonTest(unittest.TestCase):
     @settings(max_examples=60, deadline=None)
     @given(st.integers(0, 1_000_000))
-    def test_poison_costs_two_engines_whatever_else_fails(self, seed):
-        """Guards against each case in which a crash was not blamed on its cause."""
+    def test_poison_crashes_two_engines_whatever_else_fails(self, seed):
+        """Guards against crashes that are not attributed to the request at fault."""
         fleet = Fleet(seed)
         poison = []
         for _ in range(150):
@@ -139,8 +144,8 @@
 
     @settings(max_examples=60, deadline=None)
     @given(st.integers(0, 1_000_000))
-    def test_poison_sent_through_routers_that_tell_each_other(self, seed):
-        """Guards against a poison that costs each router's engines anew."""
+    def test_poison_sent_through_routers_that_report_crashes(self, seed):
+        """Guards against a poison that crashes two more engines for each router."""
         fleet = Fleet(seed, routers=4)
         poison = []
         for n in range(100):
@@ -150,15 +155,15 @@
             fleet.run_poison(poison)
         self.assertLessEqual(len(set(fleet.lost)), 2)
 
-    def test_copies_sent_at_one_instant_through_all_routers_meet_at_two_engines(self):
-        """Guards against as many lost engines as there are routers."""
+    def test_simultaneous_copies_through_all_routers_reach_two_engines(self):
+        """Guards against one crashed engine for each router."""
         for seed in range(50):
             fleet = Fleet(seed, routers=8)
             self.send_at_once(fleet)
             self.assertLessEqual(len(set(fleet.lost)), 2)
 
-    def test_copies_sent_at_one_instant_through_routers_all_cut_off(self):
-        """Guards against as many lost engines as there are parts of a cut."""
+    def test_simultaneous_copies_through_isolated_routers_reach_two_engines(self):
+        """Guards against one crashed engine for each side of a network partition."""
         for seed in range(50):
             fleet = Fleet(seed, routers=8, told=False)
             for router in fleet.routers:
@@ -174,8 +179,8 @@
         routers = range(len(fleet.routers))
         fleet.run_poison([fleet.send(router, POISON) for router in routers])
 
-    def test_both_sides_of_a_cut_lose_the_same_two_engines(self):
-        """Guards against a cut that doubles what a poison costs."""
+    def test_both_sides_of_a_partition_lose_the_same_two_engines(self):
+        """Guards against twice as many crashed engines in a network partition."""
         for seed in range(50):
             fleet = Fleet(seed, routers=2, told=False)
             fleet.run_poison([fleet.send(0, POISON) for _ in range(3)])
@@ -188,8 +193,8 @@
             self.assertEqual(len(set(fleet.lost)), 2)
             self.assertIs(fleet.refused[name].code, NO_ENGINE)
 
-    def test_first_engines_that_are_back_behind_a_cut_are_the_only_ones(self):
-        """Guards against a third engine lost where one of the two has no room."""
+    def test_only_the_first_two_engines_are_used_after_they_return_in_a_partition(self):
+        """Guards against a third crashed engine when one of the two has no room."""
         for seed in range(50):
             fleet = Fleet(seed, routers=2, told=False)
             fleet.run_poison([fleet.send(0, POISON) for _ in range(3)])
@@ -200,7 +205,7 @@
                 self.take_down(fleet, target)
             for target in lost:
                 fleet.take(1, other.staying(target, fleet.now))
-            # One is down again, and the other one has no room.
+            # One of the two is down again, and the other has no free slot.
             down, full = lost[seed % 2], lost[1 - seed % 2]
             fleet.take(1, other.leaving(down, fleet.now))
             for n in range(8):
@@ -209,8 +214,8 @@
             fleet.run_poison([fleet.send(1, POISON)])
             self.assertEqual(sorted(set(fleet.lost)), lost)
 
-    def test_router_that_alone_knew_of_the_crashes_is_killed(self):
-        """Guards against a third engine lost where nobody is left to tell."""
+    def test_the_only_router_that_knew_of_the_crashes_is_killed(self):
+        """Guards against a third crashed engine when no router knows of two others."""
         for seed in range(50):
             fleet = Fleet(seed, routers=2, told=False)
             fleet.run_poison([fleet.send(0, POISON) for _ in range(3)])
@@ -220,7 +225,7 @@
             self.assertIs(fleet.refused[name].code, NO_ENGINE)
             self.assertGreater(fleet.refused[name].retry_after, 0.0)
 
-    def test_work_is_served_elsewhere_when_more_than_its_first_engines_are_down(self):
+    def test_work_is_served_elsewhere_when_a_third_engine_is_down_as_well(self):
         """Guards against innocent work refused while a failure domain is down."""
         fleet = Fleet(1)
         for target in ("e1", "e2", "e3"):
@@ -230,7 +235,7 @@
         self.assertTrue({fleet.running[n][1] for n in names if n in fleet.running})
 
     def test_work_is_served_elsewhere_when_its_first_engines_stay_down(self):
-        """Guards against innocent work refused for as long as two engines are away."""
+        """Guards against innocent work refused for as long as two engines are down."""
         fleet = Fleet(1)
         for target in ("e1", "e2"):
             self.take_down(fleet, target)
@@ -242,11 +247,11 @@
                 fleet.take(0, fleet.routers[0].done(name, 5, fleet.now))
         self.assertEqual(fleet.refused, {})
 
-    def test_work_at_a_hung_engine_is_not_stopped_for_one_that_it_may_not_reach(self):
-        """Guards against work taken from its engine that then waits for no other."""
+    def test_work_at_a_hung_engine_is_not_moved_to_an_engine_that_may_not_run_it(self):
+        """Guards against cancelling an attempt that no other engine may take over."""
         fleet = Fleet(1, routers=2)
         name = fleet.send(0, "work")
-        here = fleet.running[name]
+        running_at = fleet.running[name]
         state = fleet.routers[0]._state
         for target in state.pools.find(dict.fromkeys(NAMES, 0)).order("work")[:2]:
             view = state.views[target]
@@ -254,14 +259,14 @@
             view.refresh()
         fleet.now = 5_000.0
         fleet.tick()
-        self.assertEqual(fleet.running.get(name), here)
+        self.assertEqual(fleet.running.get(name), running_at)
 
     def take_down(self, fleet, target):
         for router in fleet.routers:
             router.leaving(target, fleet.now)
 
-    def test_content_whose_engines_are_gone_is_refused_at_once(self):
-        """Guards against a caller that waits for engines that don't come back."""
+    def test_content_whose_engines_are_down_is_refused_at_once(self):
+        """Guards against a caller that waits for engines that stay down."""
         fleet = Fleet(1)
         for target in ("e1", "e2"):
             fleet.routers[0].crashed("neighbour", target, 0.0, times=0)
@@ -272,7 +277,7 @@
         fleet.routers[0].staying("e2", 1.0)
         self.assertEqual(fleet.running[fleet.send(0, "neighbour")], (0, "e2"))
 
-    def test_poison_is_refused_at_every_router_once_it_cost_two_engines(self):
+    def test_poison_is_refused_at_every_router_once_it_crashed_two_engines(self):
         fleet = Fleet(3, routers=4)
         fleet.run_poison([fleet.send(0, POISON)])
         for router in range(4):
--- a/tests/core/test_dispatcher_random.py
+++ b/tests/core/test_dispatcher_random.py
@@ -1,4 +1,4 @@
-"""Whatever happens in whatever order, every request gets one end."""
+"""Property test: under random events every request ends exactly once."""
 
 import random
 import unittest
@@ -21,11 +21,11 @@
 )
 
 NAMES = ("e1", "e2", "e3", "e4")
-POOLS = ({"e1": 0, "e2": 0}, {"e2": 5, "e3": 5}, dict.fromkeys(NAMES, 0))
+CANDIDATES = ({"e1": 0, "e2": 0}, {"e2": 5, "e3": 5}, dict.fromkeys(NAMES, 0))
 
 
-class Course:
-    """A dispatcher under random events, and what its caller knows."""
+class Simulation:
+    """A dispatcher under random events, and the expected state of its requests."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -48,7 +48,7 @@
                 assert self.running.pop(name) == action.target
                 self.waiting.add(name)
                 continue
-            assert name in self.waiting, f"{action} for {name}, which waits no more"
+            assert name in self.waiting, f"{action} for {name}, which is not waiting"
             self.waiting.discard(name)
             if isinstance(action, Refuse):
                 assert action.retry_after and action.retry_after > 0
@@ -86,7 +86,7 @@
         elif kind == "t":
             self.take(dispatcher.tick(self.now))
         elif kind == "c" and self.waiting | set(self.running):
-            self.leave(rng.choice(sorted(self.waiting | set(self.running))))
+            self.cancel(rng.choice(sorted(self.waiting | set(self.running))))
         elif self.running:
             self.finish(kind, rng.choice(sorted(self.running)))
 
@@ -97,7 +97,7 @@
             name,
             rng.choice(("a", "b", "c")),
             rng.choice(("x", "y")),
-            rng.choice(POOLS),
+            rng.choice(CANDIDATES),
             rng.randint(1, 500),
             rng.choice((0, 5, 20, 400)),
             self.now + rng.uniform(-10, 3_000),
@@ -108,7 +108,7 @@
         self.waiting.add(name)
         self.take(self.dispatcher.arrive(work, self.now))
 
-    def leave(self, name):
+    def cancel(self, name):
         self.waiting.discard(name)
         self.running.pop(name, None)
         self.ended.add(name)
@@ -127,7 +127,7 @@
         failure = self.rng.choice(list(Failure))
         self.take(self.dispatcher.failed(name, failure, self.now))
 
-    def run_out(self):
+    def drain_queue(self):
         for _ in range(10_000):
             due = self.dispatcher.next_tick(self.now)
             if not self.waiting or due is None:
@@ -139,19 +139,19 @@
 class RandomTest(unittest.TestCase):
     @settings(max_examples=60, deadline=None)
     @given(st.integers(0, 1_000_000))
-    def test_every_request_ends_once_and_goes_only_where_it_may(self, seed):
-        course = Course(seed)
+    def test_every_request_ends_once_and_is_sent_only_to_allowed_targets(self, seed):
+        simulation = Simulation(seed)
         for _ in range(400):
-            course.step()
-        course.run_out()
-        self.assertEqual(course.waiting, set())
-        self.assertEqual(course.dispatcher.waiting, 0)
-        arrived = {f"r{index + 1}" for index in range(course.count)}
-        self.assertEqual(course.ended | set(course.running), arrived)
-        for name in list(course.running):
-            course.leave(name)
-        owned = [v.limit.own for v in course.dispatcher._state.views.values()]
-        self.assertEqual(sum(owned), 0)
+            simulation.step()
+        simulation.drain_queue()
+        self.assertEqual(simulation.waiting, set())
+        self.assertEqual(simulation.dispatcher.waiting, 0)
+        arrived = {f"r{index + 1}" for index in range(simulation.count)}
+        self.assertEqual(simulation.ended | set(simulation.running), arrived)
+        for name in list(simulation.running):
+            simulation.cancel(name)
+        running = [v.limit.own for v in simulation.dispatcher._state.views.values()]
+        self.assertEqual(sum(running), 0)
 
 
 if __name__ == "__main__":
--- a/tests/core/test_queueset.py
+++ b/tests/core/test_queueset.py
@@ -1,4 +1,4 @@
-"""Work that waits, kept apart by the targets that may run it."""
+"""Tests of waiting work that is separated by the targets that may run it."""
 
 import unittest
 
@@ -16,19 +16,19 @@
     def setUp(self):
         self.queues = QueueSet(Shares())
 
-    def list_for(self, target):
+    def list_names(self, target):
         found = [q.list_entries() for q in self.queues.list_for(target)]
         return sorted(e.work.identity for entries in found for e in entries)
 
-    def test_target_finds_its_work_behind_much_that_it_may_not_run(self):
-        """Guards against an idle engine beside a long queue."""
+    def test_target_finds_its_work_behind_work_that_it_may_not_run(self):
+        """Guards against an engine that is idle although work for it waits."""
         for n in range(100):
             self.queues.push(make_entry(f"other{n}", allowed=("e1", "e2")))
         self.queues.push(make_entry("own", allowed=("e2", "e3")))
         self.queues.push(make_entry("any"))
-        self.assertEqual(self.list_for("e3"), ["any", "own"])
+        self.assertEqual(self.list_names("e3"), ["any", "own"])
 
-    def test_queues_that_are_empty_are_gone(self):
+    def test_empty_queues_are_removed(self):
         entry = make_entry("a", allowed=("e1", "e2"))
         self.queues.push(entry)
         self.queues.take(entry)
@@ -36,12 +36,12 @@
         self.assertEqual((self.queues.count, self.queues.backlog), (0, 0.0))
         self.assertEqual(self.queues.weight, 0.0)
 
-    def test_least_valuable_is_the_longest_of_who_has_most_waiting(self):
+    def test_least_valuable_is_the_longest_of_the_largest_backlog(self):
         self.queues.push(make_entry("a1", "a", 5.0, ("e1", "e2")))
         for name, service in (("b1", 2.0), ("b2", 4.0), ("b3", 3.0)):
             self.queues.push(make_entry(name, "b", service, ("e1", name)))
-        self.assertEqual(self.queues.least_valuable().work.identity, "b2")
-        self.assertEqual(self.queues.backlog_of("b"), 9.0)
+        self.assertEqual(self.queues.find_least_valuable().work.identity, "b2")
+        self.assertEqual(self.queues.find_backlog("b"), 9.0)
 
     def test_drain_empties_every_queue(self):
         for n in range(6):
--- a/tests/core/test_retries.py
+++ b/tests/core/test_retries.py
@@ -6,10 +6,11 @@
 
 class RetryBudgetTest(unittest.TestCase):
     def test_a_larger_fleet_leaves_each_router_fewer_retries(self):
-        """Thirty-two routers each keep the reserve of one in a fleet of four.
+        """Guards against a reserve that isn't reduced when the fleet grows.
 
-        Engines fail everywhere, and together the routers send eight times more
-        repeats than the targets are meant to bear.
+        If each of 32 routers kept the reserve of a router in a fleet of four, they
+        would together send eight times the intended number of retries when engines
+        fail everywhere.
         """
         budget = RetryBudget(reserve=24.0)
         budget.limit(3.0)
