--- a/anvilshift/core/choosing.py
+++ b/anvilshift/core/choosing.py
@@ -1,17 +1,17 @@
-"""Choose the target at which a request is answered soonest.
+"""Choose the target with the lowest predicted cost of a request.
 
-Load pattern: prompts of a few hundred tokens arrive among prompts of tens of
-thousands, and a large part of many prompts is the same.  Counting requests
-sends a short question behind a prompt that takes two seconds to read; hashing
-to keep memory warm overloads the engine of a popular prompt.
+Load pattern: prompts of a few hundred tokens are mixed with prompts of tens of
+thousands, and many prompts share a long prefix.  Least-connections balancing
+queues a short prompt behind one whose prefill takes two seconds; hashing by
+prefix, which keeps the KV caches warm, overloads the engine of a popular prefix.
 
-The time to a first token is predicted for each engine from what waits there and
-from what of the prompt its memory lacks.  What another engine's memory holds may
-be fetched from there, where that takes less time than reading it again.
+The time to first token is predicted for each engine from its queued prefill work
+and from the prompt tokens that its KV cache lacks.  Cache entries of another
+engine may be transferred where that takes less time than computing them again.
 
-A prompt of some 23,000 tokens or more slows each step so much that every stream
-beside it pauses for too long.  Such prompts are kept together, on engines where
-few streams run, and streams keep away from these engines for a while.
+The prefill of about 23,000 tokens or more slows each step so much that every
+concurrent stream exceeds its longest allowed pause.  Such prompts are concentrated
+on engines that run few streams, and streams avoid these engines for some seconds.
 """
 
 import math
@@ -31,59 +31,61 @@
 )
 
 _RUNNING_MS = 2.0
-"""Weight of a request that runs beside: it lengthens each step a little and keeps
-memory."""
+"""Cost of each concurrent request: it lengthens every step slightly and occupies
+cache memory."""
 _FETCH_LEAST = 300
-"""Tokens below which fetching costs about what reading them again does."""
-_MEMORY_MS = 400.0
-"""Charged for each part of the memory that would be over its size: the engine
-would preempt a running request and read it in again."""
+"""Tokens below which a transfer takes about as long as computing them again."""
+_CACHE_OVERFLOW_MS = 400.0
+"""Cost of needing twice the cache's capacity, in proportion for less: the engine
+would preempt a running request and repeat its prefill."""
 _FAR_MS = 0.7
-"""Charged for a target in another failure domain, about its round trip."""
+"""Cost of a target in another failure domain, about its round-trip time."""
 _FAR_MS_PER_KB = 0.5
-"""Charged for each kilobyte of a request that goes there: bytes between failure domains
-are paid for, and a prompt of 17 kB may wait 9 ms more rather than cross."""
+"""Cost of each kilobyte sent to another failure domain: traffic between domains is
+paid for, so a prompt of 17 kB waits up to 9 ms more for a target in its own."""
 _STREAM_MS = 130.0
-"""Charged to a disturbing prompt for each stream that it would make late; at 130 ms
-eight streams weigh as much as the prompt's own objective of a second."""
+"""Cost, to a disturbing prompt, of each stream that it would make late; at 130 ms
+eight streams cost as much as the prompt's own latency objective of one second."""
 _JITTER: Millis = 15.0
-"""Time by which two events move apart on their way, beside the engine's pause."""
+"""Network jitter between two events, in addition to the engine's pause."""
 _LATE_MS = 1_000.0
-_LATE_PART = 0.05
-"""Weight of more waiting for what is late anyway, so that it disturbs few."""
+_LATE_WAIT_WEIGHT = 0.05
+"""Fixed cost of a disturbing prompt that will miss its objective, and the weight of
+its wait then: it goes to an engine with few streams rather than a short queue."""
 _DISTURBED_MS = 80.0
-"""Charged to streams for an engine that was disturbed lately and will be again."""
+"""Cost, to other requests, of an engine that got a disturbing prompt within
+_DISTURBED_FOR: further disturbing prompts are likely to be sent there."""
 _DISTURBED_FOR: Millis = 3 * SECOND
-"""About as long as a stream runs."""
-_FULL_MS = 1_000.0
-"""Charged for an engine all of whose slots are taken: the request would wait there
-for an end, about a second."""
-_LIMITED_MS = 40.0
-"""Charged for an engine that has named a limit: its few requests are kept for work
-that gains by them."""
-_PLAIN_WORK: Millis = 40.0
-"""Time of a request at a plain service until it is measured."""
+"""About the duration of a stream."""
+_NO_SLOT_MS = 1_000.0
+"""Cost of an engine without a free slot: the request would wait for another one to
+end, about a second."""
+_RATE_LIMITED_MS = 40.0
+"""Cost of an engine with a rate limit: its few permitted requests are kept for those
+that gain more than this by it, such as by cached tokens."""
+_DEFAULT_PLAIN_DURATION: Millis = 40.0
+"""Assumed duration of a request at a plain service until it has been measured."""
 
 
 @dataclass(frozen=True)
 class Choice:
-    """Where a request goes.
+    """The target chosen for a request, with the predicted wait.
 
     Parameters
     ----------
     wait
-        Predicted time to its first byte, once it may be sent.
+        Predicted time from sending the request to the first byte of its answer.
     cached
-        Prompt tokens that need not be read.
+        Prompt tokens that the engine need not compute.
     fetch_from
-        Target whose memory holds more of the prompt, if it is worth fetching.
+        Target whose cache holds more of the prompt, if a transfer saves time.
     disturbing
-        Whether reading the prompt makes the streams beside it late.
+        Whether the prefill makes concurrent streams exceed their longest pause.
     unscaled
-        The wait at an engine of the usual speed.
+        The wait at an engine of reference speed.
     turn
-        Predicted time until it may be sent, where the target has named a limit or
-        said that it takes none for a while.
+        Predicted time until the request may be sent, where the target has a rate
+        limit or has asked its callers to pause.
     """
 
     target: TargetLoad
@@ -96,33 +98,34 @@
 
     @property
     def whole_wait(self) -> Millis:
-        """Return the predicted time from now to its first byte."""
+        """Return the predicted time from now to the first byte of the answer."""
         return self.turn + self.wait
 
 
 @dataclass(frozen=True)
 class Demand:
-    """What a model request needs, and by when.
+    """Resources and latency objective of a model request.
 
     Parameters
     ----------
     capacity
-        Tokens that an engine's memory holds.
+        Tokens that an engine's KV cache holds.
     domain
         Failure domain of this router.
     on_time
-        Milliseconds within which its first token is on time.
+        Latency objective of its first token, in milliseconds.
     steps
-        Steps of an engine that make one event.
+        Engine steps between two events of a stream.
     pause
-        Longest pause between two events of the streams beside it.
+        Longest allowed pause between two events of the concurrent streams.
     kilobytes
         Size of the request's body.
     fetch_per_token
-        Time to fetch a token's memory from another engine; infinite where that
-        can't be done.
+        Time to transfer the cache entries of one token from another engine;
+        infinite where engines can't transfer them.
     turns
-        Time until a target's limit allows this request, where its router was told.
+        Time until each target's rate limit allows this request, for targets whose
+        permit issuer has told this router.
     """
 
     service: str
@@ -140,17 +143,18 @@
 def list_usable(
     targets: Iterable[TargetLoad], excluded: Collection[str]
 ) -> list[TargetLoad]:
-    """Return the targets that may get work: not leaving, not failing.
+    """Return the targets that are neither leaving, excluded nor ejected.
 
-    When all are failing the measure may be wrong, and all of them are tried.
+    If all present targets are ejected, the health measurement itself may be wrong
+    and all of them are returned.
     """
     present = [
         target
         for target in targets
         if not target.info.leaving and target.info.name not in excluded
     ]
-    sound = [t for t in present if t.health.state is not State.EJECTED]
-    return sound or present
+    healthy = [t for t in present if t.health.state is not State.EJECTED]
+    return healthy or present
 
 
 def choose_engine(
@@ -160,23 +164,23 @@
     rng: random.Random,
     excluded: Collection[str] = (),
 ) -> Choice | None:
-    """Return the engine that costs the request, and those beside it, least.
+    """Return the engine with the least cost to the request and to concurrent ones.
 
     Parameters
     ----------
     excluded
-        Engines that have refused or failed the request.
+        Engines that refused the request or failed while they ran it.
     """
     usable = list_usable(loads.of_service(demand.service), excluded)
     if not usable:
         return None
-    held = [(target.count_cached(demand.prompt), target) for target in usable]
-    longest = max(held, key=lambda pair: pair[0])
-    rng.shuffle(held)
+    matches = [(target.count_cached(demand.prompt), target) for target in usable]
+    longest = max(matches, key=lambda pair: pair[0])
+    rng.shuffle(matches)
     choices = [
-        _predict(target, cached, longest, demand, now) for cached, target in held
+        _predict(target, cached, longest, demand, now) for cached, target in matches
     ]
-    return min(choices, key=lambda choice: _weigh(choice, demand, now))
+    return min(choices, key=lambda choice: _compute_cost(choice, demand, now))
 
 
 def _predict(
@@ -191,61 +195,65 @@
     Parameters
     ----------
     longest
-        Most tokens that any engine holds, and that engine.
+        Length of the longest cached prefix in tokens, and the engine that has it.
     """
     tokens, (most, holder) = demand.prompt.tokens, longest
     waiting = target.backlog(now)
-    reading = prefill_time(tokens - cached, cached)
+    prefill = prefill_time(tokens - cached, cached)
     source = None
     if most - cached >= _FETCH_LEAST:
         fetched = FETCH_SETUP + (most - cached) * demand.fetch_per_token
         fetched += prefill_time(tokens - most, most)
-        if fetched < reading:
-            reading, cached, source = fetched, most, holder
+        if fetched < prefill:
+            prefill, cached, source = fetched, most, holder
     speed = target.speed.value
     pause = longest_pause(tokens - cached, cached, demand.steps) * speed + _JITTER
-    turn = _find_turn(target, demand.turns, now)
-    # What runs there goes on while the request waits for its turn.
+    turn = _find_delay(target, demand.turns, now)
+    # The engine works off its backlog while the request waits for its permit.
     waiting = max(0.0, waiting - turn)
-    wait = waiting + reading * speed
-    plain = waiting / speed + reading
+    wait = waiting + prefill * speed
+    plain = waiting / speed + prefill
     return Choice(target, wait, cached, source, pause > demand.pause, plain, turn)
 
 
-def _find_turn(target: TargetLoad, turns: Mapping[str, Millis], now: Millis) -> Millis:
-    """Return the time until a target takes a request, as it or its issuer said."""
+def _find_delay(target: TargetLoad, turns: Mapping[str, Millis], now: Millis) -> Millis:
+    """Return the time until a target accepts a request.
+
+    It is the longer of what the target itself and its permit issuer have announced.
+    """
     return max(target.wait_for_turn(now), turns.get(target.info.name, 0.0))
 
 
-def _weigh(choice: Choice, demand: Demand, now: Millis) -> float:
-    """Return the cost of a choice in milliseconds of a first token's wait."""
+def _compute_cost(choice: Choice, demand: Demand, now: Millis) -> float:
+    """Return the cost of a choice, in milliseconds of time to first token."""
     target, prompt = choice.target, demand.prompt
     running = len(target.runs)
-    far = _FAR_MS + _FAR_MS_PER_KB * demand.kilobytes
-    cost = far * (target.info.failure_domain != demand.domain)
-    cost += choice.turn + _charge_limited(target, now)
+    transfer = _FAR_MS + _FAR_MS_PER_KB * demand.kilobytes
+    cost = transfer * (target.info.failure_domain != demand.domain)
+    cost += choice.turn + _limit_cost(target, now)
     if choice.disturbing:
         late = choice.whole_wait > demand.on_time
-        cost += _LATE_MS + _LATE_PART * choice.wait if late else choice.wait
+        cost += _LATE_MS + _LATE_WAIT_WEIGHT * choice.wait if late else choice.wait
         cost += _STREAM_MS * running
     else:
         cost += choice.wait + _RUNNING_MS * running
         cost += _DISTURBED_MS * (now - target.disturbed < _DISTURBED_FOR)
     if demand.capacity:
         need = target.run_tokens + prompt.tokens - choice.cached + prompt.most_answer
-        cost += _MEMORY_MS * max(0.0, need / demand.capacity - 1.0)
+        cost += _CACHE_OVERFLOW_MS * max(0.0, need / demand.capacity - 1.0)
     if running >= target.info.slots:
-        cost += _FULL_MS * running / max(1, target.info.slots)
+        cost += _NO_SLOT_MS * running / max(1, target.info.slots)
     return cost
 
 
-def _charge_limited(target: TargetLoad, now: Millis) -> float:
-    """Return the charge for a limited target; none where nothing was sent lately.
+def _limit_cost(target: TargetLoad, now: Millis) -> float:
+    """Return the cost of a rate-limited target; zero where nothing was sent recently.
 
-    Only an answer tells that a limit has ended.
+    Only the answer to a request shows that a limit has ended, so a target without
+    recent requests must not be avoided.
     """
     limited = target.find_rate(now) is not None and target.meter.count(now)
-    return _LIMITED_MS if limited else 0.0
+    return _RATE_LIMITED_MS if limited else 0.0
 
 
 def choose_plain(
@@ -258,14 +266,17 @@
     excluded: Collection[str] = (),
     turns: Mapping[str, Millis] | None = None,
 ) -> Choice | None:
-    """Return the plain target with the least running for its slots.
+    """Return the plain target with the lowest occupancy.
+
+    Failure domains, rate limits and announced pauses are counted as well.
 
     Parameters
     ----------
     work
-        Mean time of a request there.
+        Mean duration of a request at the service.
     turns
-        Time until a target's limit allows this request, where its router was told.
+        Time until each target's rate limit allows this request, for targets whose
+        permit issuer has told this router.
     """
     usable = list_usable(loads.of_service(service), excluded)
     if not usable:
@@ -273,12 +284,12 @@
 
     def cost(target: TargetLoad) -> float:
         queue = len(target.runs) / max(1, target.info.slots)
-        far = target.info.failure_domain != domain
-        turn = _find_turn(target, turns or {}, now)
-        limited = _charge_limited(target, now)
-        return queue * work + _FAR_MS * far + rng.random() * 0.1 + turn + limited
+        remote = target.info.failure_domain != domain
+        turn = _find_delay(target, turns or {}, now)
+        limited = _limit_cost(target, now)
+        return queue * work + _FAR_MS * remote + rng.random() * 0.1 + turn + limited
 
     target = min(usable, key=cost)
     ahead = max(0, len(target.runs) + 1 - target.info.slots)
-    wait = ahead / max(1, target.info.slots) * (work or _PLAIN_WORK)
-    return Choice(target, wait, turn=_find_turn(target, turns or {}, now))
+    wait = ahead / max(1, target.info.slots) * (work or _DEFAULT_PLAIN_DURATION)
+    return Choice(target, wait, turn=_find_delay(target, turns or {}, now))
--- a/anvilshift/core/durations.py
+++ b/anvilshift/core/durations.py
@@ -1,13 +1,13 @@
-"""Learn how long work runs from what callers' work took.
+"""Estimate run times from the measured times of earlier requests.
 
-Load pattern: engines differ, and slow down as their batch fills.  Without
-measured times no wait can be predicted, and admission refuses too much or too
-little.
+Load pattern: engines differ in speed and become slower as their batches fill.
+Without measured times waits can't be predicted, and admission control refuses too
+many or too few requests.
 
-Two figures are learned for each set of targets: the time to a first token by
-request class, and the time between tokens.  How much of an answer's bound is
-used is learned by organisation and class.  Times are averaged as logarithms,
-so that one slow target among many hardly moves them.
+Two times are estimated for each set of targets: the time to first token by request
+class, and the time between tokens.  The used fraction of an answer's token limit is
+estimated by organisation and request class.  Logarithms are averaged, so that one
+slow target among many changes the means little.
 """
 
 import math
@@ -17,26 +17,38 @@
 from anvilshift.core.work import Work
 
 _GAIN = 0.05
-"""Part of a new sample; twenty samples follow a change, a second's worth at
-twenty answers a second, and one outlier moves little."""
+"""Weight of a new sample: the mean follows a change within twenty samples, one second
+at twenty answers a second, and a single outlier changes it little."""
 _WARM_UP = 20
-_FRESH: Millis = 5 * SECOND
-"""Without an answer for so long the figures describe the past.  They refuse
-nobody then, or a router that refused everything would never learn better."""
-_SAFETY = 1.5
-"""Deviations beyond the mean: about one in fifteen runs longer, and an attempt
-cut at its deadline wastes more than an early refusal."""
-_LEAST_SAFE, _MOST_SAFE = 1.05, 2.0
-_FIRST: Millis = 20.0
-_SAVED = 0.5
-"""Until measured: half of the time to a first token is taken as prefill."""
-_PACE: Millis = 5.0
-"""Before anything is measured: optimistic, so that a first request is tried."""
+"""Samples until the weight of a new one has fallen to _GAIN: until then the mean
+weights all samples equally, and the measured saving of a prefix isn't used."""
+_FRESH_FOR: Millis = 5 * SECOND
+"""Age of the last answer above which the estimates are out of date.  They refuse no
+request then: a router that refused all would never get a new measurement."""
+_SAFETY_DEVIATIONS = 1.5
+"""Standard deviations above the mean: about one request in fifteen runs longer.  An
+attempt that is cut off at its deadline wastes more than an early refusal."""
+_MIN_SAFETY_FACTOR, _MAX_SAFETY_FACTOR = 1.05, 2.0
+_DEFAULT_FIRST_TOKEN: Millis = 20.0
+"""Assumed time to first token before any measurement."""
+_DEFAULT_SAVED_FRACTION = 0.5
+"""Fraction of the time to first token that is assumed to be prefill, which a cached
+prefix saves, until it has been measured."""
+_DEFAULT_TOKEN_TIME: Millis = 5.0
+"""Assumed time between tokens before any measurement; it is optimistic, so that a
+first request is admitted."""
 
 
 @dataclass(slots=True)
 class Mean:
-    """A running mean of logarithms.
+    """A geometric mean with exponential decay.
+
+    Attributes
+    ----------
+    count
+        Number of samples.
+    variance
+        Variance of the samples' logarithms, with the same decay.
 
     Examples
     --------
@@ -51,22 +63,27 @@
     variance: float = 0.0
 
     def add(self, sample: float) -> None:
-        """Take in a sample."""
+        """Add a sample."""
         self.count += 1
         gain = max(_GAIN, 1.0 / min(self.count, _WARM_UP))
         old = math.log(self.value)
-        off = math.log(max(sample, 1e-3)) - old
-        self.value = math.exp(old + gain * off)
-        self.variance = (1.0 - gain) * (self.variance + gain * off * off)
+        error = math.log(max(sample, 1e-3)) - old
+        self.value = math.exp(old + gain * error)
+        self.variance = (1.0 - gain) * (self.variance + gain * error * error)
 
     def high(self) -> float:
-        """Return what few samples are over."""
-        return self.value * math.exp(_SAFETY * math.sqrt(self.variance))
+        """Return an upper bound that few samples exceed."""
+        return self.value * math.exp(_SAFETY_DEVIATIONS * math.sqrt(self.variance))
 
 
 @dataclass
 class Durations:
-    """Times learned of one set of targets.
+    """Estimated times of one set of targets.
+
+    Attributes
+    ----------
+    pace
+        Time between tokens.
 
     Examples
     --------
@@ -78,26 +95,26 @@
     322
     """
 
-    pace: Mean = field(default_factory=lambda: Mean(_PACE))
-    typical: Mean = field(default_factory=lambda: Mean(_FIRST))
+    pace: Mean = field(default_factory=lambda: Mean(_DEFAULT_TOKEN_TIME))
+    typical: Mean = field(default_factory=lambda: Mean(_DEFAULT_FIRST_TOKEN))
     _first: dict[str, Mean] = field(default_factory=dict)
     _warm: dict[str, Mean] = field(default_factory=dict)
-    _used: dict[tuple[str, str], Mean] = field(default_factory=dict)
+    _used_fractions: dict[tuple[str, str], Mean] = field(default_factory=dict)
     _error: Mean = field(default_factory=lambda: Mean(1.0))
-    _learned: Millis = -math.inf
+    _last_measured: Millis = -math.inf
 
     def first(self, request_class: str) -> Millis:
-        """Return the expected time from sending to the first token."""
+        """Return the expected time to first token."""
         mean = self._first.get(request_class) or self._warm.get(request_class)
-        return mean.value if mean else _FIRST
+        return mean.value if mean else _DEFAULT_FIRST_TOKEN
 
     def knows(self, request_class: str) -> bool:
-        """Tell whether a first token of a class has been measured."""
+        """Return whether a time to first token of a class has been measured."""
         return request_class in self._first or request_class in self._warm
 
     def tokens(self, work: Work) -> float:
-        """Return the expected length of an answer."""
-        mean = self._used.get((work.organisation, work.request_class))
+        """Return the expected number of answer tokens."""
+        mean = self._used_fractions.get((work.organisation, work.request_class))
         return work.answer_tokens * (mean.value if mean else 1.0)
 
     def service(self, work: Work) -> Millis:
@@ -105,38 +122,44 @@
         return self.first(work.request_class) + self.pace.value * self.tokens(work)
 
     def safe_service(self, work: Work) -> Millis:
-        """Return a run time that few answers exceed."""
-        factor = min(_MOST_SAFE, max(_LEAST_SAFE, self._error.high()))
+        """Return an upper bound of the run time that few answers exceed."""
+        factor = min(_MAX_SAFETY_FACTOR, max(_MIN_SAFETY_FACTOR, self._error.high()))
         return self.service(work) * factor
 
     def is_fresh(self, now: Millis) -> bool:
-        """Tell whether the figures are of the last seconds."""
-        return now - self._learned <= _FRESH
+        """Return whether the estimates include a measurement of the last seconds."""
+        return now - self._last_measured <= _FRESH_FOR
 
     def saving(self, request_class: str) -> Millis:
-        """Return what a cached prefix has saved of the time to a first token."""
+        """Return the time to first token that a cached prefix is expected to save."""
         first = self.first(request_class)
         warm = self._warm.get(request_class)
         if warm is None or warm.count < _WARM_UP:
-            return first * _SAVED
+            return first * _DEFAULT_SAVED_FRACTION
         return max(0.0, first - warm.value)
 
     def add_first(
         self, work: Work, span: Millis, now: Millis, warm: bool = False
     ) -> None:
-        """Take in how long a first token took.
+        """Add a measured time to first token.
 
         Parameters
         ----------
         warm
-            Whether the target was believed to hold the prompt's prefix.
+            Whether the prompt's prefix was assumed to be in the target's cache.
         """
         means = self._warm if warm else self._first
         means.setdefault(work.request_class, Mean(span or 1.0)).add(span)
-        self._learned = now
+        self._last_measured = now
 
     def add_whole(self, work: Work, tokens: int, span: Millis, now: Millis) -> None:
-        """Take in how long an answer took after its first token."""
+        """Add the measured time of an answer after its first token.
+
+        Parameters
+        ----------
+        tokens
+            Number of answer tokens.
+        """
         expected = self.service(work) - self.first(work.request_class)
         if expected > 0:
             self._error.add(max(span, 1.0) / expected)
@@ -144,6 +167,6 @@
             self.pace.add(span / (tokens - 1))
         if tokens and work.answer_tokens:
             key = work.organisation, work.request_class
-            part = min(1.0, tokens / work.answer_tokens)
-            self._used.setdefault(key, Mean(part)).add(part)
-        self._learned = now
+            fraction = min(1.0, tokens / work.answer_tokens)
+            self._used_fractions.setdefault(key, Mean(fraction)).add(fraction)
+        self._last_measured = now
--- a/anvilshift/core/loadmap.py
+++ b/anvilshift/core/loadmap.py
@@ -1,13 +1,14 @@
-"""What runs at each target, and what its memory holds, as all routers know it.
+"""The load and the cache contents of each target, shared among routers.
 
-Load pattern: many routers send to the same engines at once, and what engines
-report of themselves is some hundred milliseconds old.  Routers that each knew
-only their own work would all pick the engine that looked idle a moment ago.
+Load pattern: many routers send to the same engines concurrently, and the load that
+engines report is some hundred milliseconds old.  If each router knew only its own
+requests, all of them would pick the engine that was idle in the last report.
 
-Every router tells the others each send, first event and end, so that each
-holds nearly the whole picture within a millisecond or two; in a large fleet it
-tells those that send most work to the same engines.  What is told may be lost;
-a run that nobody ends is forgotten after the longest time it can take.
+Every router notifies the others of each request that it sends and of its first
+event and end, so that each has an almost complete view within a millisecond or
+two; in a large fleet it notifies those that send most requests to the same engines.
+Notifications may be lost; a run without an end is removed after the longest time
+that a run can take.
 """
 
 import math
@@ -21,42 +22,46 @@
 from anvilshift.core.ratelimits import Meter, RateLimit
 
 PREFILL_TOKENS_PER_MS = 64.2
-"""Prompt tokens that an engine reads in a millisecond, of the users' engines."""
+"""Prefill throughput of the users' engines, in prompt tokens a millisecond."""
 _PAIRS_MS = 0.647e-6
-"""Milliseconds for a pair of a prompt token with one before it: attention makes
-the time of a long prompt grow with its square."""
-_STEP_PART = 1.13
-"""A prefill runs in chunks of 2,048 tokens, about 32 ms, and each waits for one
-decoding step of 4.2 ms of the requests that run beside it."""
+"""Attention time for a pair of a prompt token and one before it: prefill time grows
+with the square of the prompt's length."""
+_DECODE_OVERHEAD = 1.13
+"""Factor on the prefill time: prefill runs in chunks of 2,048 tokens, about 32 ms
+each, and between two chunks the concurrent requests decode for 4.2 ms."""
 _CHUNK = 2048
-"""Prompt tokens that an engine reads in one step, beside the requests that run."""
+"""Prompt tokens that an engine computes in one step beside the running requests."""
 _STEP: Millis = 4.3
-"""Time of a step in which no prompt is read."""
+"""Duration of a step without prefill."""
 _TELLING: Millis = 40.0
-_PASSAGE: Millis = 7.0
-"""Of a first token's time, what is not the engine's: both ways and one step."""
+"""Predicted waits below this are not used to measure an engine's speed."""
+_FIXED_OVERHEAD: Millis = 7.0
+"""Part of the time to first token that is not prefill: the network round trip and
+one decoding step."""
 _FASTEST, _SLOWEST = 0.5, 3.0
-"""A single measure beyond these is of something else, such as a preemption."""
+"""Bounds of one speed sample; values outside have other causes, such as a
+preemption."""
 FETCH_SETUP: Millis = 3.0
-"""Time until memory that is fetched from another engine begins to arrive."""
+"""Latency until cache entries from another engine begin to arrive."""
 LONGEST_RUN: Millis = 20 * SECOND
-"""A run whose end nobody told is forgotten then; callers wait 15 s at most."""
-_MISSED_FOR: Millis = 120 * SECOND
-"""As long as content is remembered that is blamed for a crash."""
+"""Age at which a run without a notified end is removed; callers wait at most 15 s."""
+_LOST_RETENTION: Millis = 120 * SECOND
+"""Time that a lost target is kept: as long as a content stays blamed for a crash."""
 
 
 @dataclass(frozen=True)
 class Prompt:
-    """What a request asks of a model engine.
+    """The prompt of a model request and the bound of its answer.
 
     Parameters
     ----------
     parts
-        Ids and tokens of the prompt's parts, in order.  Requests share parts.
+        Identifier and token count of each part of the prompt, in order.  Requests
+        may have parts in common.
     tokens
         Tokens of the whole prompt.
     most_answer
-        Most tokens of the answer.
+        Maximum number of answer tokens.
     """
 
     parts: tuple[tuple[str, int], ...] = ()
@@ -66,14 +71,14 @@
 
 @dataclass(frozen=True)
 class TargetInfo:
-    """One target as it registered itself.
+    """The registration of a target.
 
     Parameters
     ----------
     born
-        What tells two starts under one name apart.
+        Number that distinguishes successive starts under the same name.
     cold_until
-        Instant until which it works slowly after its start.
+        End of the warm-up after its start, during which it is slower.
     """
 
     name: str
@@ -86,13 +91,25 @@
     cold_until: Millis = -math.inf
 
     def is_another(self, known: "TargetInfo") -> bool:
-        """Tell whether this is of another start than the one that is known."""
+        """Return whether this registration belongs to another start than the known."""
         return (self.born, self.address) != (known.born, known.address)
 
 
 @dataclass(slots=True)
 class RunLoad:
-    """A run's part of its target's load."""
+    """The load that one run adds to its target.
+
+    Parameters
+    ----------
+    work
+        Predicted prefill time.
+    tokens
+        Cache tokens that it needs beyond those cached already.
+    since
+        When it was sent.
+    begun
+        Whether its first event has arrived.
+    """
 
     work: Millis
     tokens: int
@@ -101,14 +118,14 @@
 
 
 def prefill_time(new: int, cached: int) -> Millis:
-    """Return the time that an idle engine takes to read a prompt.
+    """Return the prefill time of a prompt at an idle engine.
 
     Parameters
     ----------
     new
-        Tokens to be read.
+        Tokens to compute.
     cached
-        Tokens before them that the engine's memory holds.
+        Tokens before them that the engine has in its KV cache.
 
     Examples
     --------
@@ -116,19 +133,23 @@
     (126, 14)
     """
     pairs = new * (cached + new / 2)
-    return _STEP_PART * (new / PREFILL_TOKENS_PER_MS) + pairs * _PAIRS_MS
+    return _DECODE_OVERHEAD * (new / PREFILL_TOKENS_PER_MS) + pairs * _PAIRS_MS
 
 
 def longest_pause(new: int, cached: int, steps: int) -> Millis:
-    """Return how long streams that run beside wait for an event at the most.
+    """Return the longest pause of concurrent streams during a prefill.
 
-    While a prompt is read each step reads a chunk of it; the last chunks of a
-    long prompt take longest.
+    During a prefill each step computes one chunk of the prompt; the last chunks of
+    a long prompt take longest, since they attend to all tokens before them.
 
     Parameters
     ----------
+    new
+        Tokens to compute.
+    cached
+        Tokens before them that the engine has in its KV cache.
     steps
-        Steps that make one event.
+        Engine steps between two events of a stream.
 
     Examples
     --------
@@ -137,30 +158,36 @@
     """
     last = min(new, steps * _CHUNK)
     before = cached + new - last
-    reading = last / PREFILL_TOKENS_PER_MS + last * (before + last / 2) * _PAIRS_MS
-    return reading + steps * _STEP
+    prefill = last / PREFILL_TOKENS_PER_MS + last * (before + last / 2) * _PAIRS_MS
+    return prefill + steps * _STEP
 
 
 @dataclass(eq=False)
 class TargetLoad:
-    """A target with what is known of its work and its memory.
+    """The known load and cache contents of a target.
 
     Attributes
     ----------
     parts
-        Prompt parts in its memory, least recently used first.
+        Prompt parts in its cache, least recently used first.
+    part_tokens
+        Tokens of these parts.
+    pending
+        Predicted prefill time of the runs that haven't begun to answer.
+    run_tokens
+        Cache tokens that its runs need beyond those cached already.
     progressed
-        When a run last began to answer: what waits has been worked on since.
+        When a run last began to answer: the pending prefills have run since then.
     speed
-        Times that it takes over those of the users' usual engine, as measured.
+        Measured prefill time relative to the users' reference engine.
     disturbed
-        When a prompt was last sent here that makes streams beside it late.
+        When a prompt was last sent here whose prefill makes concurrent streams late.
     limit
-        Requests a second that it has named, if any.
+        Rate limit that it has announced, if any.
     meter
-        The requests that it got lately.
+        Counts the requests sent to it recently.
     paused_until
-        When it takes requests again, as it said when it refused one.
+        When it accepts requests again, as it stated when it refused one.
     """
 
     info: TargetInfo
@@ -178,34 +205,42 @@
     paused_until: Millis = -math.inf
 
     def find_rate(self, now: Millis) -> float | None:
-        """Return the requests a second that may be sent to it; None for any number."""
+        """Return its limit in requests a second; None where it has none."""
         return self.limit.find_rate(now) if self.limit else None
 
     def wait_for_turn(self, now: Millis) -> Millis:
-        """Return the time until it takes a request, as far as it has said."""
+        """Return the time until its rate limit and its pause allow a request."""
         rate = self.find_rate(now)
         allowed = now if rate is None else self.meter.find_next(rate, now)
         return max(allowed, self.paused_until) - now
 
     def measure(self, span: Millis, predicted: Millis) -> None:
-        """Take in how long a first token took that was predicted at usual speed.
+        """Update the engine's speed from a measured time to first token.
 
-        Engines of one service differ by a third; a short wait says little of it.
+        Engines of one service differ by a third; in a short wait this difference
+        can't be told from fixed overhead, so short waits are ignored.
+
+        Parameters
+        ----------
+        span
+            Measured time to first token.
+        predicted
+            Predicted time at reference speed.
         """
         if predicted >= _TELLING:
-            ratio = max(span - _PASSAGE, 1.0) / predicted
+            ratio = max(span - _FIXED_OVERHEAD, 1.0) / predicted
             self.speed.add(min(max(ratio, _FASTEST), _SLOWEST))
 
     def backlog(self, now: Millis) -> Millis:
-        """Return the time until a new prompt would begin to be read."""
+        """Return the time until the prefill of a new prompt would start."""
         if self.pending <= 0.0:
             return 0.0
         oldest = min(run.since for run in self.runs.values() if not run.begun)
-        worked = now - max(oldest, self.progressed)
-        return max(0.0, self.pending * self.speed.value - worked)
+        elapsed = now - max(oldest, self.progressed)
+        return max(0.0, self.pending * self.speed.value - elapsed)
 
     def count_cached(self, prompt: Prompt) -> int:
-        """Return the prompt tokens that need not be read again."""
+        """Return the number of leading prompt tokens that are cached."""
         cached = 0
         for identity, tokens in prompt.parts:
             if identity not in self.parts:
@@ -214,7 +249,7 @@
         return cached
 
     def remember(self, parts: Iterable[tuple[str, int]], capacity: int) -> None:
-        """Count parts as held; the least recently used ones make room."""
+        """Record parts as cached; evict the least recently used ones over capacity."""
         for identity, tokens in parts:
             self.part_tokens += tokens - self.parts.pop(identity, 0)
             self.parts[identity] = tokens
@@ -222,13 +257,13 @@
             self.part_tokens -= self.parts.popitem(last=False)[1]
 
     def forget_parts(self) -> None:
-        """Take in that the memory is empty, as after a restart."""
+        """Clear the cached parts, as after a restart of the engine."""
         self.parts.clear()
         self.part_tokens = 0
 
 
 class LoadMap:
-    """Every target's load.
+    """The load of every target, by target name and by service.
 
     Examples
     --------
@@ -250,7 +285,10 @@
         self._lost: dict[str, tuple[TargetInfo, Millis]] = {}
 
     def declare(self, info: TargetInfo) -> None:
-        """Take in a target, or what changed of it."""
+        """Add a target or update its registration.
+
+        A new start under the same name begins without load and cache contents.
+        """
         known = self.targets.get(info.name)
         self._lost.pop(info.name, None)
         start = info.born, info.address
@@ -258,23 +296,26 @@
             self.targets[info.name] = TargetLoad(info)
         else:
             known.info = info
-        self._regroup()
+        self._group_by_service()
 
     def remove(self, name: str, now: Millis) -> None:
-        """Take in that a target is gone."""
+        """Remove a target.
+
+        One that hasn't announced that it is leaving stays listed as lost for a while.
+        """
         target = self.targets.pop(name, None)
         if target is None:
             return
         self._lost = {n: (i, at) for n, (i, at) in self._lost.items() if now < at}
         if not target.info.leaving:
-            self._lost[name] = target.info, now + _MISSED_FOR
-        self._regroup()
+            self._lost[name] = target.info, now + _LOST_RETENTION
+        self._group_by_service()
 
     def list_domains(self, service: str, now: Millis) -> dict[str, str]:
-        """Return the failure domain of each target that serves, or was lost lately.
+        """Return the failure domain of each present or recently lost target.
 
-        Were a target that crashed left out, the content that crashed it would have
-        another in its place.
+        If a crashed target were left out, the content that crashed it would be
+        assigned another target in its place.
         """
         present = [t.info for t in self.of_service(service) if not t.info.leaving]
         lost = [i for i, until in self._lost.values() if now < until]
@@ -284,7 +325,7 @@
             if info.service == service
         }
 
-    def _regroup(self) -> None:
+    def _group_by_service(self) -> None:
         self._by_service = {}
         for target in self.targets.values():
             self._by_service.setdefault(target.info.service, []).append(target)
@@ -303,12 +344,12 @@
         capacity: int,
         disturbing: bool = False,
     ) -> None:
-        """Take in that a run was sent to a target.
+        """Add a run that was sent to a target.
 
         Parameters
         ----------
         disturbing
-            Whether reading its prompt makes streams beside it late.
+            Whether its prefill makes concurrent streams late.
         """
         target = self.targets.get(name)
         if target is None:
@@ -325,13 +366,13 @@
             target.disturbed = now
 
     def hold(self, name: str, parts: Iterable[tuple[str, int]], capacity: int) -> None:
-        """Take in that a target's memory holds parts of prompts."""
+        """Record that a target has parts of prompts in its cache."""
         target = self.targets.get(name)
         if target is not None:
             target.remember(parts, capacity)
 
     def begin(self, name: str, run: str, now: Millis) -> None:
-        """Take in that a run began to answer."""
+        """Record the first event of a run: its prefill is no longer pending."""
         target = self.targets.get(name)
         entry = target.runs.get(run) if target else None
         if target is None or entry is None or entry.begun:
@@ -339,10 +380,10 @@
         entry.begun = True
         target.pending -= entry.work
         target.progressed = now
-        self._tidy(target)
+        self._reset_rounding(target)
 
     def end(self, name: str, run: str) -> None:
-        """Take in that a run ended, whatever came of it."""
+        """Remove a run that ended, with or without an answer."""
         target = self.targets.get(name)
         entry = target.runs.pop(run, None) if target else None
         if target is None or entry is None:
@@ -350,22 +391,22 @@
         target.run_tokens -= entry.tokens
         if not entry.begun:
             target.pending -= entry.work
-            self._tidy(target)
+            self._reset_rounding(target)
 
-    def _tidy(self, target: TargetLoad) -> None:
-        # Rounding must not leave a target without waiting work looking busy.
+    def _reset_rounding(self, target: TargetLoad) -> None:
+        # Rounding errors must not leave pending time where no run waits.
         if all(run.begun for run in target.runs.values()):
             target.pending = 0.0
 
     def expire(self, now: Millis) -> None:
-        """Forget runs whose end was never told."""
+        """Remove runs that are older than the longest run: their end was lost."""
         for name, target in self.targets.items():
             old = [r for r, one in target.runs.items() if now - one.since > LONGEST_RUN]
             for run in old:
                 self.end(name, run)
 
     def forget_runs(self, prefix: str) -> None:
-        """Forget the runs of a router that is gone; their ids begin with its name."""
+        """Remove the runs of a router that is gone, by the prefix of their ids."""
         for name, target in self.targets.items():
             for run in [run for run in target.runs if run.startswith(prefix)]:
                 self.end(name, run)
--- a/anvilshift/core/placement.py
+++ b/anvilshift/core/placement.py
@@ -1,14 +1,15 @@
-"""Choose a target for work.
+"""Choose a target for work from a small sample of candidates.
 
-Load pattern: targets fill up, slow down and hold different prefixes.  Without
-this, round robin sends work to full targets while others have room, and the
-same prompt prefix is computed everywhere.
+Load pattern: targets differ in occupancy, speed and cached prefixes.  Round robin
+sends work to full targets while others have free slots, and every target computes
+the same prompt prefixes.
 
-A few of the targets that have room are weighed, with a few that hold the prompt's
-prefix, and the one with the least predicted time is taken.  Work's content fixes
-which are weighed first; work without one draws them by lot.  Few cost the same
-with ten targets as with thousands and come close to the best of all; that they
-differ from content to content keeps many routers from taking the same best one.
+The candidates are a few targets with free slots and a few that have the prompt's
+prefix in their caches; the one with the lowest predicted run time is chosen.  A
+content is always tried at its own targets first; work without content samples
+targets at random.  The cost of a small sample doesn't grow with the number of
+targets, and its best target is close to the best of all.  As samples differ between
+contents, many routers don't choose the same target at the same time.
 
 References
 ----------
@@ -22,25 +23,28 @@
 from anvilshift.core.clock import Millis
 
 DRAWN = 4
-"""Targets weighed for one request without a content: two draws bring most of the
-gain, four make it likely that one of them is in the own failure domain."""
+"""Targets sampled for a request without content: two bring most of the gain, four
+make it likely that one of them is in the router's own failure domain."""
 HOLDERS = 2
-_REMOTE: Millis = 2.0
-"""One way between failure domains, both users' figure, there and back."""
+"""Targets added to the sample that have the prompt's prefix in their caches."""
+_REMOTE_MS: Millis = 2.0
+"""Round trip between failure domains, twice the one-way latency that users gave."""
 
 
 @dataclass(frozen=True)
 class Option:
-    """A target that could take work.
+    """A candidate target.
 
     Parameters
     ----------
     occupancy
-        Requests there over what it runs at once.
+        Its requests relative to its slots.
     ratio
-        Its times over the expected ones.
+        Its run times relative to the expected ones.
     held
-        Part of the prompt's prefix that it is believed to hold.
+        Fraction of the prompt's prefix that is assumed to be in its cache.
+    remote
+        Whether it is in another failure domain than the router.
     """
 
     name: str
@@ -53,24 +57,24 @@
 def predict(option: Option, service: Millis, saving: Millis) -> Millis:
     """Return the predicted run time of work at a target.
 
-    A batch that is full to a part makes it slower by about that part, and
-    what it has queued beyond its batch waits as well.
+    Run time grows about in proportion to the occupancy of the target's batch, and
+    requests that it has queued beyond its batch delay new work in the same way.
 
     Parameters
     ----------
     service
-        Expected run time without a prefix.
+        Expected run time without a cached prefix.
     saving
-        What a whole prefix in the cache saves.
+        Time saved when the whole prefix is cached.
     """
     busy = service * option.ratio * (1.0 + option.occupancy)
-    return busy - saving * option.held + (_REMOTE if option.remote else 0.0)
+    return busy - saving * option.held + (_REMOTE_MS if option.remote else 0.0)
 
 
 def choose(
     options: Iterable[Option], service: Millis, saving: Millis, rng: random.Random
 ) -> Option | None:
-    """Return the option with the least predicted time; lots break ties.
+    """Return the option with the lowest predicted run time; ties are broken randomly.
 
     Examples
     --------
--- a/anvilshift/core/pools.py
+++ b/anvilshift/core/pools.py
@@ -1,10 +1,10 @@
-"""The sets of targets that requests may use, with what waits for each.
+"""Pools: the sets of candidate targets, each with queues of waiting requests.
 
-Requests of many organisations share few sets of candidates.  Each distinct set
-with its priorities is a pool, which holds its own queues and knows without a
-search which of its targets have room.  Pools that have a target in common are
-of one kind: they share what organisations were given and what was learned of
-durations.
+Requests of many organisations share few sets of candidates.  Each distinct set with
+its priorities is a pool; it has its own queues and maintains the set of its targets
+with free slots, so that they needn't be searched.  Pools that have a target in
+common belong to one kind: they share the organisations' service counts of fair
+queueing and the measured durations.
 """
 
 from collections.abc import Iterator, Mapping
@@ -21,20 +21,29 @@
 from anvilshift.core.sampling import SampledSet
 from anvilshift.core.work import Target
 
-_LONG = 4.0
-"""Work that runs over four times the typical work is long."""
-_LONG_PART = 0.7
-"""Part of the slots that long work may hold: the rest turns over quickly for
-short work, and long work alone still fills most of the targets."""
-_MOST_REMEMBERED = 1_000
-_TRIED_PLACES = 12
-"""Targets looked at for those that a content prefers, where it may go to any: in a
-fleet that is full to four fifths, two of them have room nine times in ten."""
+_LONG_FACTOR = 4.0
+"""Work is long if its expected run time exceeds this multiple of the typical one."""
+_MAX_LONG_FRACTION = 0.7
+"""Fraction of the slots that long work may occupy: the rest become free often for
+short work, and long work alone can still use most of the targets."""
+_MAX_CACHED = 1_000
+"""Entries after which a lookup cache is cleared."""
+_RANKED_TARGETS = 12
+"""Targets ranked for a content that may go to any: at an occupancy of four fifths,
+two of them have a free slot nine times in ten."""
 
 
 @dataclass(eq=False)
 class Kind:
-    """Targets that can stand in for one another."""
+    """A group of interchangeable targets: those of pools with targets in common.
+
+    Attributes
+    ----------
+    typical
+        Mean expected run time of work, by which long work is recognised.
+    levels
+        Sum of the targets' levels, the mean logarithms of their relative times.
+    """
 
     shares: Shares = field(default_factory=Shares)
     durations: Durations = field(default_factory=Durations)
@@ -44,30 +53,30 @@
     levels: float = 0.0
 
     def sum_levels(self) -> None:
-        """Add up the targets' levels anew."""
+        """Compute the sum of the targets' levels from scratch."""
         self.levels = sum(view.health.level for view in self.views.values())
 
     def count_out(self) -> int:
-        """Return how many targets are ejected or return only now."""
+        """Return how many targets are ejected or being probed."""
         return sum(b.health.state is not State.HEALTHY for b in self.views.values())
 
 
 @dataclass(eq=False)
 class TargetView:
-    """A target with this router's view of it.
+    """A target with this router's knowledge of it.
 
     Parameters
     ----------
     whole
-        Requests that this router may have there, its fraction drawn by lot.
-    counted
-        What the pools' slots hold of this target.
+        Requests that this router may have there, as a randomly rounded integer.
+    pooled_slots
+        Slots of this target that are included in its pools' slots.
     out_since
-        When it was last found down after it had been sound.
+        When it last went out of use after being healthy.
     named
-        Requests a second that the target has named, if any.
+        Rate limit that the target has announced, if any.
     permits
-        Permits that this router has and has not used.
+        Unused permits of this router.
     """
 
     target: Target
@@ -75,7 +84,7 @@
     health: Health = field(default_factory=Health)
     leaving: bool = False
     whole: int = 0
-    counted: float = 0.0
+    pooled_slots: float = 0.0
     out_since: Millis = float("-inf")
     named: RateLimit | None = None
     meter: Meter = field(default_factory=Meter)
@@ -85,89 +94,103 @@
 
     @property
     def is_used(self) -> bool:
-        """Tell whether it may get work at all."""
+        """Return whether it is neither leaving nor ejected."""
         return not self.leaving and self.health.state is not State.EJECTED
 
     @property
     def is_sound(self) -> bool:
-        """Tell whether it is in use and not just coming back."""
+        """Return whether it is neither leaving nor ejected nor being probed."""
         return not self.leaving and self.health.state is State.HEALTHY
 
     def note_outage(self, now: Millis) -> None:
-        """Take in that it is about to go out of use."""
+        """Record when a healthy target goes out of use; call it before the change."""
         if self.is_sound:
             self.out_since = now
 
     @property
-    def part(self) -> float:
-        """Return how many requests this router may have here, as a mean."""
+    def share(self) -> float:
+        """Return how many requests this router may have here on average."""
         if not self.is_used:
             return 0.0
         if self.named is not None:
-            # So many run at once where so few may begin a second.
-            begun = self.named.rate * self.kind.typical.value / SECOND
-            return min(begun / self.limit.routers, self.limit.part)
+            # Concurrency equals arrival rate times run time (Little's law).
+            concurrent = self.named.rate * self.kind.typical.value / SECOND
+            return min(concurrent / self.limit.routers, self.limit.share)
         if self.health.state is State.PROBING:
-            return min(float(self.health.cap), self.limit.part)
-        return self.limit.part
+            return min(float(self.health.cap), self.limit.share)
+        return self.limit.share
 
     def add_span(self, span: Millis, expected: Millis) -> None:
-        """Take in how long a step took against what was expected."""
+        """Record a measured time together with its expected value."""
         before = self.health.level
         self.health.add_span(span, expected)
         self.kind.levels += self.health.level - before
 
     def probe(self, now: Millis) -> None:
-        """Let the target have one request at a time."""
+        """Put an ejected target back into use with one request at a time."""
         self.kind.levels -= self.health.level
         self.health.probe(now)
 
-    def _usual(self) -> float:
-        """Return the mean level of the others."""
+    def _mean_other_level(self) -> float:
+        """Return the mean level of the kind's other targets."""
         others = len(self.kind.views) - 1
         level = self.health.level
         return (self.kind.levels - level) / others if others > 0 else level
 
     def is_bad(self) -> bool:
-        """Tell whether the target should be out of use."""
-        return self.health.is_bad(self._usual())
+        """Return whether the target should be ejected."""
+        return self.health.is_bad(self._mean_other_level())
 
     def slowness(self) -> float:
-        """Return its times over the others'; one for all that aren't slow.
+        """Return its times relative to those of the other targets, at least one.
 
-        Were a fast one preferred, the others would never be measured.
+        Faster targets aren't preferred, or the others would never be measured.
         """
-        return self.health.slowness(self._usual())
+        return self.health.slowness(self._mean_other_level())
 
     def has_room(self) -> bool:
-        """Tell whether another request may be sent."""
+        """Return whether the rate limit and the slots allow another request."""
         return self.is_permitted() and self.has_slot()
 
     def has_slot(self) -> bool:
-        """Tell whether another request may be sent, but for the target's limit."""
+        """Return whether this router has a free slot here, whatever the rate limit."""
         most = self.whole
         if self.health.state is State.PROBING:
             most = min(self.health.cap, max(1, self.whole))
         return self.is_used and self.limit.own < most
 
     def is_permitted(self) -> bool:
-        """Tell whether the target's limit allows another request now."""
+        """Return whether the target has no rate limit or this router has a permit."""
         return self.named is None or self.permits > 0
 
     def refresh(self) -> None:
-        """Bring the pools up to date after a change."""
-        part, room = self.part, self.has_room()
+        """Update the slots and the open targets of its pools after a change."""
+        share, room = self.share, self.has_room()
         for pool in self.pools:
-            pool.slots += part - self.counted
+            pool.slots += share - self.pooled_slots
             if room:
                 pool.open.add(self.target.name)
             else:
                 pool.open.discard(self.target.name)
-        self.counted = part
+        self.pooled_slots = share
 
 
 class Pool:
-    """A set of candidates with their priorities."""
+    """A set of candidate targets with their priorities and queues.
+
+    Attributes
+    ----------
+    top
+        Highest priority among the targets.
+    open
+        Names of the targets that have room for another request.
+    usable
+        Number of targets that aren't leaving.
+    slots
+        Requests that this router may have at the targets in total.
+    homes
+        Targets assigned to contents, as looked up before.
+    """
 
     def __init__(self, priorities: Mapping[str, int], kind: Kind) -> None:
         self.priorities = priorities
@@ -184,100 +207,105 @@
 
     @property
     def waiting(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return self.short.count + self.long.count
 
     @property
     def backlog(self) -> float:
-        """Return the expected run time of all that waits."""
+        """Return the expected total run time of the waiting requests."""
         return self.short.backlog + self.long.backlog
 
     def classify(self, entry: Entry) -> None:
-        """Decide whether work is long; it stays so."""
+        """Classify work as long or short; it isn't classified again later."""
         typical = self.kind.typical
-        entry.is_long = typical.count > 0 and entry.service > _LONG * typical.value
+        entry.is_long = (
+            typical.count > 0 and entry.service > _LONG_FACTOR * typical.value
+        )
         typical.add(entry.service)
 
     def queue_of(self, entry: Entry) -> QueueSet:
-        """Return the queues in one of which work waits."""
+        """Return the set of queues for long or for short work that an entry uses."""
         return self.long if entry.is_long else self.short
 
     def may_run_long(self) -> bool:
-        """Tell whether one more long request leaves room for short ones.
+        """Return whether another long request may run beside short ones.
 
-        Long jobs that took every slot would make each short one wait for a
-        long one's end; it shows as late short answers while engines are full.
+        If long work took every slot, each short request would wait for a long one
+        to end, and its answer would be late whenever the engines are full.
         """
-        return self.long_running < max(1.0, _LONG_PART * self.slots)
+        return self.long_running < max(1.0, _MAX_LONG_FRACTION * self.slots)
 
     def order(self, content: str) -> list[str]:
-        """Return some targets in an order that a content fixes."""
-        return rank_targets(content, self._names, _TRIED_PLACES)
+        """Return the first targets in the ranking of a content.
+
+        The ranking depends only on the content and the names of the targets.
+        """
+        return rank_targets(content, self._names, _RANKED_TARGETS)
 
     def remember_homes(self, content: str, homes: tuple[str, ...]) -> None:
-        """Keep the homes of a content, which are looked up for each attempt."""
-        if len(self.homes) >= _MOST_REMEMBERED:
+        """Cache the homes of a content, which are looked up for each attempt."""
+        if len(self.homes) >= _MAX_CACHED:
             self.homes.clear()
         self.homes[content] = homes
 
-    def queues_for(self, target: str) -> Iterator[FairQueue]:
-        """Return the queues that a target may serve now; none is empty."""
+    def list_queues(self, target: str) -> Iterator[FairQueue]:
+        """Yield the non-empty queues from which a target may be sent work now."""
         yield from self.short.list_for(target)
         if self.may_run_long():
             yield from self.long.list_for(target)
 
 
 class Pools:
-    """Find the pool of a set of candidates.
+    """The pools by their sets of candidates.
 
     Parameters
     ----------
     views
-        Every target by name.
+        All targets by name.
     """
 
     def __init__(self, views: Mapping[str, TargetView]) -> None:
-        self._bays = views
+        self._views = views
         self._pools: dict[frozenset[tuple[str, int]], Pool] = {}
-        self._known: dict[int, tuple[Mapping[str, int], Pool | None]] = {}
+        self._by_identity: dict[int, tuple[Mapping[str, int], Pool | None]] = {}
 
     def __iter__(self) -> Iterator[Pool]:
         return iter(self._pools.values())
 
     def find(self, candidates: Mapping[str, int]) -> Pool | None:
-        """Return the pool of candidates; None when none of them is declared.
+        """Return the pool of the declared candidates; None if none is declared.
 
-        The same object is found again by its identity: a thousand candidates
-        need not be read for each request.
+        Results are cached by object identity, so that a mapping of a thousand
+        candidates isn't read for each request.
         """
-        known = self._known.get(id(candidates))
+        known = self._by_identity.get(id(candidates))
         if known is not None:
             return known[1]
-        declared = {n: p for n, p in candidates.items() if n in self._bays}
+        declared = {n: p for n, p in candidates.items() if n in self._views}
         key = frozenset(declared.items())
         pool = self._pools.get(key)
         if pool is None and declared:
             pool = self._pools[key] = self._make(declared)
-        if len(self._known) >= _MOST_REMEMBERED:
-            self._known.clear()
-        # The object is kept, or another could come to have its identity.
-        self._known[id(candidates)] = candidates, pool
+        if len(self._by_identity) >= _MAX_CACHED:
+            self._by_identity.clear()
+        # The reference keeps the mapping alive, so that its id isn't reused.
+        self._by_identity[id(candidates)] = candidates, pool
         return pool
 
     def _make(self, priorities: Mapping[str, int]) -> Pool:
-        views = [self._bays[name] for name in priorities]
-        kind = self._join(views)
+        views = [self._views[name] for name in priorities]
+        kind = self._merge_kinds(views)
         pool = Pool(priorities, kind)
         kind.pools.append(pool)
         for view in views:
             view.pools.append(pool)
             pool.usable += not view.leaving
-            pool.slots += view.counted
+            pool.slots += view.pooled_slots
             view.refresh()
         return pool
 
-    def _join(self, views: list[TargetView]) -> Kind:
-        """Make the targets' kinds one."""
+    def _merge_kinds(self, views: list[TargetView]) -> Kind:
+        """Merge the kinds of targets into the one with the most targets."""
         kind = max((view.kind for view in views), key=lambda k: len(k.views))
         for view in views:
             other = view.kind
--- a/anvilshift/core/prefixes.py
+++ b/anvilshift/core/prefixes.py
@@ -1,14 +1,14 @@
-"""Believe which prompt prefixes a target holds in its cache.
+"""Track which prompt prefixes are in the cache of each target.
 
-Load pattern: many requests share long prompt prefixes, a few of them very hot.
-Without this, every target computes every prefix, and caches that hold a few
-prefixes each are overwritten all the time.
+Load pattern: many requests share long prompt prefixes, a few of them very often.
+If requests were sent without regard to caches, every target would compute every
+prefix, and caches with room for a few prefixes would be overwritten constantly.
 
-What is believed comes from cache events and from the work that was sent there.
-Events are late and some are lost, so a belief may be wrong: an eviction went
-unheard.  A wrong belief costs the time of one prefill and never an answer, and
-it ends when newer blocks crowd it out.  Were all that is believed of a target
-dropped at a gap, its hot prefixes would be forgotten with the rest.
+The index is updated by cache events and by the work sent to each target.  Events
+arrive late and some are lost, so an entry may be stale, such as after a lost
+eviction.  A stale entry costs one more prefill but never a wrong answer, and newer
+blocks displace it.  A gap in the sequence of events doesn't clear a target's
+entries, since that would remove its popular prefixes as well.
 """
 
 import random
@@ -19,15 +19,16 @@
 from anvilshift.core.work import CacheEvent
 
 _FIRST_SEQUENCE = 1
-"""A number so low after a higher one: the target has restarted, its cache is
-empty, and it would count for long below what was seen before."""
-_MOST_BLOCKS = 4_096
-"""Blocks believed at one target: about 100 bytes each, so that a thousand
-targets cost a router some hundred megabytes at most and usually far less."""
+"""An event with a number this low after a higher one shows that the target has
+restarted with an empty cache.  Otherwise all its events would be ignored as old
+until their numbers exceed the last one before the restart."""
+_MAX_BLOCKS = 4_096
+"""Limit of blocks tracked for one target, at about 100 bytes each: a thousand targets
+take a router some hundred megabytes at most and usually far less."""
 
 
 class PrefixBelief:
-    """Which prefix blocks each target is believed to hold.
+    """An index of the prefix blocks that are assumed to be in each target's cache.
 
     Examples
     --------
@@ -46,7 +47,7 @@
         self._sequences: dict[str, int] = {}
 
     def take(self, event: CacheEvent) -> None:
-        """Take in a cache event."""
+        """Apply a cache event; ignore one that is older than the last applied."""
         last = self._sequences.get(event.target)
         if last is not None and event.sequence <= min(last, _FIRST_SEQUENCE):
             self.forget(event.target)
@@ -58,13 +59,13 @@
         self.add(event.target, event.stored)
 
     def add(self, target: str, blocks: Sequence[str]) -> None:
-        """Believe that a target holds blocks."""
+        """Record blocks as cached at a target; drop its least recent over the limit."""
         held = self._held.setdefault(target, OrderedDict())
         for block in blocks:
             held[block] = None
             held.move_to_end(block)
             self._holders.setdefault(block, SampledSet()).add(target)
-        while len(held) > _MOST_BLOCKS:
+        while len(held) > _MAX_BLOCKS:
             self._drop(target, next(iter(held)))
 
     def _drop(self, target: str, block: str) -> None:
@@ -77,14 +78,14 @@
             del self._holders[block]
 
     def forget(self, target: str) -> None:
-        """Believe nothing of a target any more."""
+        """Remove all entries of a target."""
         for block in list(self._held.get(target, ())):
             self._drop(target, block)
         self._held.pop(target, None)
         self._sequences.pop(target, None)
 
     def matched(self, target: str, prefixes: Sequence[str]) -> int:
-        """Return how many leading blocks of a prompt a target holds."""
+        """Return how many leading blocks of a prompt are in a target's cache."""
         held = self._held.get(target)
         if not held:
             return 0
@@ -96,7 +97,13 @@
     def holders(
         self, prefixes: Sequence[str], rng: random.Random, most: int
     ) -> list[str]:
-        """Return some of the targets that hold the longest known prefix."""
+        """Return a sample of the targets with the longest cached prefix.
+
+        Parameters
+        ----------
+        most
+            Maximum size of the sample.
+        """
         for block in reversed(prefixes):
             found = self._holders.get(block)
             if found is not None:
--- a/anvilshift/core/routing.py
+++ b/anvilshift/core/routing.py
@@ -1,7 +1,7 @@
-"""Which service a request goes to, and what may be done with it.
+"""Route requests to services, and describe how each route is handled.
 
-A configuration is immutable and replaced as a whole.  A request keeps the one
-that it was routed by until it ends.
+A configuration is immutable and replaced as a whole.  A request keeps the
+configuration by which it was routed until it ends.
 """
 
 import math
@@ -14,7 +14,7 @@
 
 
 class RequestKind(Enum):
-    """What may be repeated of a request, and how its answer comes."""
+    """Whether a request may be repeated, and whether its answer is a stream."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -23,22 +23,26 @@
 
 @dataclass(frozen=True)
 class Rule:
-    """How requests under one host name and path prefix are handled.
+    """A route: the handling of requests under one host name and path prefix.
 
     Parameters
     ----------
     services
         Services with the weights by which requests are split among them.
     timeout
-        Longest time that a caller is kept waiting.
+        Longest time that a caller waits for an answer.
     objective
-        Time to the first byte of an answer within which it is on time.
+        Latency objective: the time to first byte within which an answer is on time.
     pause_objective
-        Longest pause between two events of a stream that is on time.
+        Longest pause between two events within which a stream is on time.
     priority
-        Rank among routes; 0 is the most urgent.
+        Priority among routes; 0 is the most urgent.
     most_targets
-        Most targets on which one request may run.
+        Maximum number of targets on which one request may run.
+    anonymous
+        Whether requests without a credential are accepted.
+    resumable
+        Whether a broken stream may be resumed by running its request again.
     """
 
     name: str
@@ -60,7 +64,7 @@
         return self.kind is RequestKind.IDEMPOTENT or self.resumable
 
     def draw_service(self, rng: random.Random) -> str:
-        """Return one of the services, drawn by weight."""
+        """Return one of the services at random, in proportion to the weights."""
         if len(self.services) == 1:
             return self.services[0][0]
         names = [name for name, _ in self.services]
@@ -70,19 +74,19 @@
 
 @dataclass(frozen=True)
 class ModelFigures:
-    """What is declared of the engines of a model service.
+    """The declared figures of a model service's engines.
 
     Parameters
     ----------
     slots
-        Requests that one engine runs at once.
+        Requests that one engine runs concurrently.
     cache_tokens
-        Tokens that one engine's memory holds, running and cached.
+        Tokens that one engine's KV cache holds, of running requests and cached ones.
     tokens_an_event
-        Most tokens that one event of a stream carries.
+        Maximum number of tokens in one event of a stream.
     fetch_per_token
-        Time to fetch a token's memory from another engine; infinite where nothing
-        is declared of it.
+        Time to transfer the cache entries of one token from another engine;
+        infinite where it isn't declared.
     """
 
     slots: int = 0
@@ -93,14 +97,14 @@
 
 @dataclass(frozen=True)
 class Service:
-    """A group of equal targets.
+    """A group of interchangeable targets.
 
     Parameters
     ----------
     most_connections
         Connections that one target accepts from all routers together.
     model
-        Figures of model engines; None for a plain service.
+        Figures of its engines; None for a plain service.
     """
 
     name: str
@@ -110,14 +114,14 @@
 
 @dataclass(frozen=True)
 class Tenancy:
-    """An organisation, its credentials and what it has prepaid.
+    """An organisation, its credentials and its prepaid tokens.
 
     Parameters
     ----------
     priority
-        Goes before a route's own priority; None leaves that in force.
+        Overrides the priority of the route; None for no override.
     reserved
-        Tokens that the organisation may consume in all; None is no limit.
+        Total tokens that the organisation may consume; None for no limit.
     """
 
     name: str
@@ -128,7 +132,7 @@
 
 @dataclass(frozen=True)
 class ClientLimits:
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits on the size of a caller's requests and on slow or idle connections."""
 
     head_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -138,7 +142,7 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """Everything that operators declare, as of one version."""
+    """One version of all declarations of the operators."""
 
     version: int
     rules: tuple[Rule, ...] = ()
@@ -148,7 +152,7 @@
 
 
 class RouteTable:
-    """Find the rule of a request and the organisation behind a credential.
+    """Look up the rule of a request and the organisation of a credential.
 
     Examples
     --------
@@ -171,7 +175,7 @@
         }
 
     def find(self, host: str, path: str) -> Rule | None:
-        """Return the rule with the longest prefix of a path, if any."""
+        """Return the rule of a host with the longest prefix of a path, if any."""
         name = host.rpartition(":")[0] if ":" in host else host
         for rule in self._by_host.get(name.lower(), ()):
             if path.startswith(rule.prefix):
@@ -179,11 +183,14 @@
         return None
 
     def find_pause(self, service: str) -> Millis:
-        """Return the longest pause that no stream of a service may exceed."""
+        """Return the shortest pause objective of a service's routes.
+
+        It is infinite for a service without one.
+        """
         return self._pauses.get(service, math.inf)
 
     def find_organisation(self, key: str) -> Tenancy | None:
-        """Return the organisation that holds a credential, if any."""
+        """Return the organisation to which a credential belongs, if any."""
         return self._by_key.get(key)
 
 
@@ -193,13 +200,13 @@
     for rule in rules:
         if rule.pause_objective is not None:
             for service, _ in rule.services:
-                known = pauses.get(service, math.inf)
-                pauses[service] = min(known, rule.pause_objective)
+                shortest = pauses.get(service, math.inf)
+                pauses[service] = min(shortest, rule.pause_objective)
     return pauses
 
 
 def _group_by_host(rules: Iterable[Rule]) -> dict[str, list[Rule]]:
-    """Return the rules by host name, longest prefix first."""
+    """Return the rules of each host name, longest prefix first."""
     grouped: dict[str, list[Rule]] = {}
     for rule in sorted(rules, key=lambda rule: -len(rule.prefix)):
         grouped.setdefault(rule.host.lower(), []).append(rule)
--- a/anvilshift/core/sending.py
+++ b/anvilshift/core/sending.py
@@ -1,4 +1,4 @@
-"""Send waiting work to targets that have room."""
+"""Dispatch waiting work to targets with free slots."""
 
 from collections.abc import Callable
 
@@ -14,19 +14,22 @@
 from anvilshift.core.state import Attempt, DispatchState
 from anvilshift.core.work import Actions, Announce, Refuse, Send
 
-_PASSED_OVER = 4
-"""Most requests passed over for one slot, so that an event's cost is bounded."""
-_PROBE_SLACK = 3.0
-"""A request that probes a returning target has time to run elsewhere after."""
+_MAX_SKIPPED = 4
+"""Maximum number of requests skipped for one slot, which bounds an event's cost."""
+_PROBE_SLACK_FACTOR = 3.0
+"""Expected run times that must remain until the deadline of a request that probes a
+returning target, so that it can still run elsewhere if the probe fails."""
 
 
 class Sender:
-    """Match waiting work with targets.
+    """Match waiting work with targets and keep the running attempts.
 
     Attributes
     ----------
+    running
+        Attempts by the identity of their work.
     on_sent
-        Called with each attempt that begins.
+        Callback for each attempt that begins.
     """
 
     def __init__(self, state: DispatchState, backlog: Backlog, reach: Reach) -> None:
@@ -37,19 +40,21 @@
         self._reach = reach
 
     def offer(self, entry: Entry, pool: Pool, now: Millis) -> Actions:
-        """Send work at once when a target has room."""
+        """Send work immediately if an eligible target has a free slot."""
         if not entry.waits or not len(pool.open):
             return []
         if entry.is_long and not pool.may_run_long():
             return []
         if self._state.quarantine.is_quarantined(entry.work.content, now):
-            return [self._quarantine(entry, pool)]
+            return [self._refuse_quarantined(entry, pool)]
         allowed = self._reach.list_allowed(entry.work, pool, now)
-        names = self._draw(entry, pool) if allowed is None else allowed
+        names = self._list_candidates(entry, pool) if allowed is None else allowed
         names = [name for name in dict.fromkeys(names) if name in pool.open]
         views = [self._state.views[name] for name in names]
         options = [
-            self._weigh(entry, view) for view in views if self._suits(entry, view, now)
+            self._make_option(entry, view)
+            for view in views
+            if self._is_eligible(entry, view, now)
         ]
         durations = pool.kind.durations
         saving = durations.saving(entry.work.request_class)
@@ -58,32 +63,33 @@
             return []
         return self._send(entry, pool, self._state.views[option.name], now)
 
-    def _draw(self, entry: Entry, pool: Pool) -> list[str]:
-        """Return targets to weigh for work that may go to any.
+    def _list_candidates(self, entry: Entry, pool: Pool) -> list[str]:
+        """Return a sample of candidates for work that may go to any target.
 
-        They are the first two of the content's order with room, without room there
-        the next ones, and for work without content any.  Some that hold the
-        prompt's prefix are added.
+        They are those of the content's two first-ranked targets that have room, or
+        the next ones in its ranking if neither has, and random targets for work
+        without content.  Some with the prompt's prefix in their caches are added.
         """
         rng, names = self._state.rng, []
         if entry.work.content:
             ordered = pool.order(entry.work.content)
             fresh = [n for n in ordered if n in pool.open and n not in entry.tried]
             homes = [name for name in fresh if name in ordered[:TARGETS]]
-            # What crashed a target may wait for no other suspect at its second.
+            # A content that may have crashed a target also gets candidates after its
+            # homes, or it would wait while its second home runs another suspect.
             reached = self._state.quarantine.list_reached(entry.work.content)
             names = fresh[:TARGETS] if reached or not homes else homes
         if not names:
             names = pool.open.draw(rng, DRAWN)
         return names + self._state.prefixes.holders(entry.work.prefixes, rng, HOLDERS)
 
-    def _quarantine(self, entry: Entry, pool: Pool) -> Refuse:
-        """Refuse work that was found poisonous while it waited."""
+    def _refuse_quarantined(self, entry: Entry, pool: Pool) -> Refuse:
+        """Refuse work whose content was quarantined while it waited."""
         del self._backlog.entries[entry.work.identity]
         pool.queue_of(entry).remove(entry)
         return self._state.refuse_quarantined(entry.work)
 
-    def _weigh(self, entry: Entry, view: TargetView) -> Option:
+    def _make_option(self, entry: Entry, view: TargetView) -> Option:
         name, prefixes = view.target.name, entry.work.prefixes
         matched = self._state.prefixes.matched(name, prefixes)
         return Option(
@@ -94,8 +100,12 @@
             view.target.failure_domain != self._state.settings.failure_domain,
         )
 
-    def _suits(self, entry: Entry, view: TargetView, now: Millis) -> bool:
-        """Tell whether work may go to a target that has room."""
+    def _is_eligible(self, entry: Entry, view: TargetView, now: Millis) -> bool:
+        """Return whether work may be sent to a target that has room.
+
+        The target must be allowed for its content, untried while others are, able
+        to be probed by it, and not running another suspect if the content is one.
+        """
         work, name = entry.work, view.target.name
         pool = self._backlog.entries[work.identity][1]
         allowed = self._reach.list_allowed(work, pool, now)
@@ -105,7 +115,7 @@
             return False
         if view.health.state is State.PROBING:
             slack = work.deadline - now
-            if not work.idempotent or slack < _PROBE_SLACK * entry.service:
+            if not work.idempotent or slack < _PROBE_SLACK_FACTOR * entry.service:
                 return False
         content = work.content
         if not self._state.quarantine.is_suspect(content):
@@ -113,53 +123,56 @@
         return self._state.quarantine.is_free(name, content)
 
     def has_untried(self, entry: Entry, pool: Pool, now: Millis) -> bool:
-        """Tell whether some target in use has not had work yet."""
+        """Return whether some usable target hasn't been tried for work yet."""
         usable = self._reach.list_usable(entry.work, pool, now)
         if usable is None:
             return len(entry.tried) < pool.usable
         return any(name not in entry.tried for name in usable)
 
     def fill(self, view: TargetView, now: Millis) -> Actions:
-        """Send waiting work to a target while it has room."""
+        """Send waiting work to a target while it has room.
+
+        Work that may not be sent to this target is skipped and queued again.
+        """
         actions: Actions = []
-        aside: list[tuple[Entry, Pool]] = []
-        while view.has_room() and len(aside) < _PASSED_OVER:
+        skipped: list[tuple[Entry, Pool]] = []
+        while view.has_room() and len(skipped) < _MAX_SKIPPED:
             found = self.next_for(view)
             if found is None:
                 break
             queue, pool = found
             entry = queue.peek()
             if self._state.quarantine.is_quarantined(entry.work.content, now):
-                actions.append(self._quarantine(entry, pool))
+                actions.append(self._refuse_quarantined(entry, pool))
             elif self._state.has_no_hope(entry, pool, now):
                 detail = "no slot came free in time"
                 actions.append(self._backlog.give_up(entry, OVERLOADED, detail))
-            elif self._suits(entry, view, now):
+            elif self._is_eligible(entry, view, now):
                 actions += self._send(entry, pool, view, now)
             else:
                 pool.queue_of(entry).remove(entry)
-                aside.append((entry, pool))
-        for entry, pool in aside:
+                skipped.append((entry, pool))
+        for entry, pool in skipped:
             pool.queue_of(entry).push(entry)
         return actions
 
     def next_for(self, view: TargetView) -> tuple[FairQueue, Pool] | None:
-        """Return the queue that a target serves next.
+        """Return the queue from which a target is sent work next, and its pool.
 
-        That is by priority, then by the organisations' tags; among queues whose
-        tags are close the one with the earliest deadline.
+        The queues of the highest priority are ordered by the organisations' tags
+        of fair queueing; among those with close tags the earliest deadline decides.
         """
         name = view.target.name
-        found = [
+        queues = [
             (pool.priorities[name], queue.next_tag(), queue, pool)
             for pool in view.pools
-            for queue in pool.queues_for(name)
+            for queue in pool.list_queues(name)
         ]
-        if not found:
+        if not queues:
             return None
-        top = max(priority for priority, *_ in found)
-        bound = min(tag for priority, tag, *_ in found if priority == top) + CLOSE
-        close = [item for item in found if item[0] == top and item[1] <= bound]
+        top = max(priority for priority, *_ in queues)
+        bound = min(tag for priority, tag, *_ in queues if priority == top) + CLOSE
+        close = [item for item in queues if item[0] == top and item[1] <= bound]
         _, _, queue, pool = min(close, key=lambda i: (i[2].peek().work.deadline, i[1]))
         return queue, pool
 
@@ -168,8 +181,8 @@
         actions: Actions = []
         reached = self._state.quarantine.list_reached(work.content)
         if reached and name not in reached:
-            # Told before it can crash: a router that has a copy must not spend
-            # on another target what is being spent here.
+            # Announced before the target can crash: a router with a copy of the
+            # request must not use the content's credit for another target.
             actions.append(Announce(work.content, name, times=0))
         pool.queue_of(entry).take(entry)
         del self._backlog.entries[work.identity]
@@ -195,7 +208,18 @@
         return [*actions, Send(work.identity, name, entry.attempts, priority)]
 
     def stop(self, identity: str, now: Millis, ran: bool = True) -> Attempt | None:
-        """Take in that a target no longer runs work, if it ever did."""
+        """Remove the running attempt of work and free its slot.
+
+        Parameters
+        ----------
+        ran
+            Whether the target may have run it.
+
+        Returns
+        -------
+        Attempt or None
+            None if no attempt was running.
+        """
         attempt = self.running.pop(identity, None)
         if attempt is None:
             return None
@@ -206,7 +230,7 @@
         return attempt
 
     def sweep(self, now: Millis) -> Actions:
-        """Look again at work that was passed over while targets had room."""
+        """Offer free slots again to work that was skipped before."""
         actions: Actions = []
         for pool in self._state.pools:
             if not pool.waiting:
--- a/anvilshift/core/spreading.py
+++ b/anvilshift/core/spreading.py
@@ -1,12 +1,12 @@
-"""Order the addresses that callers are given.
+"""Order the addresses at which callers may connect to the fleet.
 
-Load pattern: no balancer stands before the fleet, and callers keep the answer
-for a while.  Without this, every caller takes the first address, that host
-fills up, and its loss breaks everyone at once.
+Load pattern: the fleet has no load balancer in front of it, and callers cache the
+list for a while.  In a fixed order every caller would connect to the first address:
+that host would be overloaded, and its loss would break all connections at once.
 
-The caller's failure domain comes first.  Inside a domain the order is drawn by
-lot, so that callers that ask at once part; a host with twice the load is drawn
-first half as often.  Hosts that are leaving are never given.
+Addresses in the caller's failure domain come first.  Within a domain the order is
+random, so that concurrent callers choose different hosts; a host with twice the
+load comes first half as often.  Hosts that are leaving aren't listed.
 """
 
 import random
@@ -14,8 +14,8 @@
 from dataclasses import dataclass
 
 _IDLE_LOAD = 10.0
-"""Requests in flight that make no difference: below this, load figures of the
-last heartbeat say nothing about the next second."""
+"""Added to each host's requests in flight: fewer than this in the last heartbeat say
+nothing about the load in the next second, so they hardly change the order."""
 
 
 @dataclass(frozen=True)
@@ -31,12 +31,12 @@
 def order_entrances(
     entrances: Iterable[Entrance], failure_domain: str, rng: random.Random
 ) -> list[Entrance]:
-    """Return the entrances in the order in which a caller shall try them.
+    """Return the entrances in the order in which a caller should try them.
 
     Parameters
     ----------
     failure_domain
-        Where the caller is, as far as is known.
+        Failure domain of the caller, if known.
 
     Examples
     --------
@@ -48,8 +48,8 @@
     """
 
     def key(entrance: Entrance) -> tuple[bool, float]:
-        # The smallest of exponential draws falls to each in proportion to
-        # the inverse of its mean.
+        # Of several exponential variates, each is the smallest with a probability
+        # proportional to the inverse of its mean.
         mean = _IDLE_LOAD + entrance.in_flight
         return entrance.failure_domain != failure_domain, rng.expovariate(1 / mean)
 
--- a/tests/core/test_choosing.py
+++ b/tests/core/test_choosing.py
@@ -115,7 +115,7 @@
             demand = make_demand(prompt)
             loads = LoadMap()
             loads.targets = {target.info.name: target}
-            loads._regroup()
+            loads._group_by_service()
             return choose_engine(loads, demand, now, counting.rng)
 
         counting.choose = fewest
--- a/tests/core/test_concurrency.py
+++ b/tests/core/test_concurrency.py
@@ -17,9 +17,9 @@
             for _ in range(own):
                 limit.change(+1, 1.0)
             limit.report(LoadReport("e1", 4, 0, as_of=2.0), 3.0)
-        self.assertAlmostEqual(limits[0].part, 3 + 16 / 7)
-        self.assertAlmostEqual(limits[1].part, 8 / 3)
-        self.assertAlmostEqual(limits[2].part, 8 / 3)
+        self.assertAlmostEqual(limits[0].share, 3 + 16 / 7)
+        self.assertAlmostEqual(limits[1].share, 8 / 3)
+        self.assertAlmostEqual(limits[2].share, 8 / 3)
 
     def test_work_sent_after_the_report_is_not_taken_for_that_of_others(self):
         limit = Limit(8, 2)
@@ -32,14 +32,14 @@
         limit = Limit(8, 1)
         limit.report(LoadReport("e1", 4, 6, as_of=1.0), 2.0)
         self.assertEqual(limit.slots, 4.0)
-        self.assertEqual(limit.part, 4.0)
+        self.assertEqual(limit.share, 4.0)
 
     def test_parts_fall_back_to_equal_when_reports_stop(self):
         limit = Limit(8, 4)
         limit.report(LoadReport("e1", 0, 0, as_of=1.0), 2.0)
         self.assertFalse(limit.expire(1.0 + STALE))
         self.assertTrue(limit.expire(3.0 + STALE))
-        self.assertEqual(limit.part, 4.0)
+        self.assertEqual(limit.share, 4.0)
 
     def test_target_that_never_reports_keeps_a_bounded_history(self):
         limit = Limit(8, 1)
