--- a/anvilshift/core/prefixes.py
+++ b/anvilshift/core/prefixes.py
@@ -32,12 +32,12 @@
 
     Examples
     --------
-    >>> belief = PrefixBelief()
-    >>> belief.take(CacheEvent("e1", 1, stored=("p1", "p2")))
-    >>> belief.matched("e1", ("p1", "p2", "p3"))
+    >>> index = PrefixBelief()
+    >>> index.take(CacheEvent("e1", 1, stored=("p1", "p2")))
+    >>> index.matched("e1", ("p1", "p2", "p3"))
     2
-    >>> belief.take(CacheEvent("e1", 3, evicted=("p2",)))
-    >>> belief.matched("e1", ("p1", "p2"))
+    >>> index.take(CacheEvent("e1", 3, evicted=("p2",)))
+    >>> index.matched("e1", ("p1", "p2"))
     1
     """
 
--- a/anvilshift/core/routing.py
+++ b/anvilshift/core/routing.py
@@ -60,7 +60,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether the request may run more than once."""
+        """Return whether the request may run more than once."""
         return self.kind is RequestKind.IDEMPOTENT or self.resumable
 
     def draw_service(self, rng: random.Random) -> str:
--- a/anvilshift/core/sending.py
+++ b/anvilshift/core/sending.py
@@ -67,8 +67,9 @@
         """Return a sample of candidates for work that may go to any target.
 
         They are those of the content's two first-ranked targets that have room, or
-        the next ones in its ranking if neither has, and random targets for work
-        without content.  Some with the prompt's prefix in their caches are added.
+        the next two in its ranking if neither has.  If none is found, as for work
+        without content, they are random targets.  Some with the prompt's prefix in
+        their caches are added.
         """
         rng, names = self._state.rng, []
         if entry.work.content:
--- a/tests/core/test_choosing.py
+++ b/tests/core/test_choosing.py
@@ -8,7 +8,7 @@
 
 CAPACITY = 400_000
 FETCH = 0.0012
-"""Milliseconds to fetch a token's memory: 164 kB over 1,100 Gbit/s."""
+"""Milliseconds to transfer one token's cache entries: 164 kB at 1,100 Gbit/s."""
 ENGINES = [f"e{n}" for n in range(9)]
 
 
@@ -23,8 +23,8 @@
     return Demand("advice", prompt, CAPACITY, "north", on_time, 5, 300.0, 0.0, FETCH)
 
 
-class Replay:
-    """Play arrivals against engines that read prompts one after the other."""
+class Simulation:
+    """Simulate arrivals at engines that run prefills one after another."""
 
     def __init__(self, names=ENGINES, choose=None) -> None:
         self.loads = make_map(names)
@@ -47,14 +47,14 @@
         self.count += 1
         run = str(self.count)
         self.loads.send(name, run, prompt, choice.cached, now, CAPACITY)
-        reading = prefill_time(prompt.tokens - choice.cached, choice.cached)
-        self.free[name] = max(self.free[name], now) + reading
+        prefill = prefill_time(prompt.tokens - choice.cached, choice.cached)
+        self.free[name] = max(self.free[name], now) + prefill
         self.events.append((self.free[name], name, run))
         self.waits.setdefault(kind, []).append(self.free[name] - now)
         return name
 
 
-def part_within(waits: list[float], bound: float) -> float:
+def fraction_within(waits: list[float], bound: float) -> float:
     return sum(wait <= bound for wait in waits) / len(waits)
 
 
@@ -72,21 +72,23 @@
         return choice.target.info.name
 
     def test_a_large_request_crosses_domains_only_for_more_than_it_costs(self):
-        """Prompts of many kilobytes arrive while the near engine reads a short one.
+        """Large prompts arrive while the near engine runs a short prefill.
 
-        Each crosses to another failure domain for a few milliseconds, where bytes
-        are paid for and come later.
+        If bytes had no cost, each would be sent to another failure domain to save a
+        few milliseconds, though traffic between domains is paid for and slower.
         """
         loads = self.make_map()
         waiting = Prompt((("other", 300),), 300, 50)
         loads.send("near", "run", waiting, 0, 0.0, CAPACITY)
-        # The near engine begins 5.3 ms later; 17 kB cost 9.2 ms, 2 kB cost 1.7 ms.
+        # The near engine is free in 5.3 ms; 17 kB cost 9.2 ms, 2 kB cost 1.7 ms.
         self.assertEqual(self.choose(loads, 17.0), "near")
         self.assertEqual(self.choose(loads, 2.0), "far")
 
 
 class LoadPatternTest(unittest.TestCase):
-    def play_mix(self, replay: Replay, seconds: int, factor: float = 1.0) -> None:
+    def simulate_mix(
+        self, simulation: Simulation, seconds: int, factor: float = 1.0
+    ) -> None:
         rng = random.Random(3)
         now = 0.0
         while now < seconds * 1_000.0:
@@ -95,58 +97,60 @@
                 own = int(min(50_000, rng.lognormvariate(8.0, 1.2)))
                 shared = f"sheet-{rng.randrange(90)}"
                 parts = ((shared, 5_000), (f"{now}", own))
-                replay.arrive("long", Prompt(parts, 5_000 + own, 400), now)
+                simulation.arrive("long", Prompt(parts, 5_000 + own, 400), now)
             else:
                 prompt = Prompt(((f"{now}", 900),), 900, 300)
-                replay.arrive("short", prompt, now)
+                simulation.arrive("short", prompt, now)
 
     def test_short_prompts_do_not_wait_behind_long_ones(self):
-        """At opening chats arrive among prompts of up to 55,000 tokens.
+        """Short chats arrive among prompts of up to 55,000 tokens in the opening peak.
 
-        Counting requests sends one chat in ten behind a prompt that takes a
-        second to read; a manager waits with a customer on the line.
+        Least-connections balancing queues one chat in ten behind a prompt whose
+        prefill takes a second, while a customer waits for the answer.
         """
-        replay = Replay()
-        self.play_mix(replay, 30)
-        counting = Replay(choose=None)
-
-        def fewest(prompt, now):
-            target = min(counting.loads.of_service("advice"), key=lambda t: len(t.runs))
+        simulation = Simulation()
+        self.simulate_mix(simulation, 30)
+        least_connections = Simulation(choose=None)
+
+        def choose_least_connections(prompt, now):
+            target = min(
+                least_connections.loads.of_service("advice"), key=lambda t: len(t.runs)
+            )
             demand = make_demand(prompt)
             loads = LoadMap()
             loads.targets = {target.info.name: target}
             loads._group_by_service()
-            return choose_engine(loads, demand, now, counting.rng)
+            return choose_engine(loads, demand, now, least_connections.rng)
 
-        counting.choose = fewest
-        self.play_mix(counting, 30)
-        self.assertGreater(part_within(replay.waits["short"], 300.0), 0.97)
-        self.assertLess(part_within(counting.waits["short"], 300.0), 0.97)
+        least_connections.choose = choose_least_connections
+        self.simulate_mix(least_connections, 30)
+        self.assertGreater(fraction_within(simulation.waits["short"], 300.0), 0.97)
+        self.assertLess(fraction_within(least_connections.waits["short"], 300.0), 0.97)
 
-    def test_two_lost_engines_of_nine_do_not_tip_the_rest_over(self):
-        replay = Replay(ENGINES[:7])
-        self.play_mix(replay, 30)
-        self.assertGreater(part_within(replay.waits["short"], 300.0), 0.9)
+    def test_loss_of_two_engines_of_nine_does_not_overload_the_rest(self):
+        simulation = Simulation(ENGINES[:7])
+        self.simulate_mix(simulation, 30)
+        self.assertGreater(fraction_within(simulation.waits["short"], 300.0), 0.9)
 
     def test_a_burst_is_spread_over_all_engines(self):
-        replay = Replay()
+        simulation = Simulation()
         names = [
-            replay.arrive("burst", Prompt(((f"{n}", 2_000),), 2_000, 50), 0.0)
+            simulation.arrive("burst", Prompt(((f"{n}", 2_000),), 2_000, 50), 0.0)
             for n in range(90)
         ]
         counts = [names.count(name) for name in ENGINES]
         self.assertEqual((min(counts), max(counts)), (10, 10))
 
-    def test_a_hot_session_goes_where_its_prompt_is_cached_until_that_is_full(self):
-        replay = Replay()
+    def test_a_popular_prompt_uses_its_cache_until_that_engine_is_busy(self):
+        simulation = Simulation()
         prompt = Prompt((("sheet", 9_000), ("q", 100)), 9_100, 50)
-        first = replay.arrive("hot", prompt, 0.0)
-        again = replay.arrive("hot", prompt, 1_000.0)
+        first = simulation.arrive("hot", prompt, 0.0)
+        again = simulation.arrive("hot", prompt, 1_000.0)
         self.assertEqual(first, again)
-        names = {replay.arrive("hot", prompt, 1_100.0) for _ in range(60)}
+        names = {simulation.arrive("hot", prompt, 1_100.0) for _ in range(60)}
         self.assertGreater(len(names), 3)
 
-    def test_what_another_engine_holds_is_fetched_rather_than_read(self):
+    def test_cached_prefix_of_another_engine_is_transferred(self):
         loads = make_map(("e0", "e1"))
         prompt = Prompt((("sheet", 9_000), ("q", 100)), 9_100, 50)
         loads.send("e0", "r1", prompt, 0, 0.0, CAPACITY)
@@ -158,8 +162,8 @@
         self.assertEqual(choice.fetch_from.info.name, "e0")
         self.assertEqual(choice.cached, 9_100)
 
-    def choose_beside_a_holder(self, fetch_per_token: float):
-        """Choose where e0 holds a sheet of 9,000 tokens and reads for 100 ms more."""
+    def choose_with_busy_holder(self, fetch_per_token: float):
+        """Choose while e0, which caches 9,000 tokens, is busy for 100 ms more."""
         loads = make_map(("e0", "e1"))
         prompt = Prompt((("sheet", 9_000), ("q", 100)), 9_100, 50)
         loads.send("e0", "r1", prompt, 0, 0.0, CAPACITY)
@@ -168,23 +172,23 @@
         demand = replace(make_demand(prompt), fetch_per_token=fetch_per_token)
         return choose_engine(loads, demand, 200.0, random.Random(1))
 
-    def test_a_slow_link_makes_a_prompt_wait_for_the_engine_that_holds_it(self):
-        # 3 + 9,100 x 0.0012 = 14 ms are less than the wait of 100 ms at e0; over a
-        # link that takes 0.012 ms a token, 3 + 9,100 x 0.012 = 112 ms are more.
-        fast = self.choose_beside_a_holder(0.0012)
+    def test_a_prompt_waits_for_its_cached_prefix_if_the_transfer_is_slower(self):
+        # A transfer of 3 + 9,100 x 0.0012 = 14 ms is shorter than the wait of 100 ms
+        # at e0; at 0.012 ms a token, 3 + 9,100 x 0.012 = 112 ms are longer.
+        fast = self.choose_with_busy_holder(0.0012)
         self.assertEqual((fast.target.info.name, fast.cached), ("e1", 9_100))
-        slow = self.choose_beside_a_holder(0.012)
+        slow = self.choose_with_busy_holder(0.012)
         self.assertEqual((slow.target.info.name, slow.fetch_from), ("e0", None))
 
-    def test_nothing_is_fetched_where_no_rate_is_declared(self):
-        self.assertIsNone(self.choose_beside_a_holder(math.inf).fetch_from)
+    def test_nothing_is_transferred_where_no_rate_is_declared(self):
+        self.assertIsNone(self.choose_with_busy_holder(math.inf).fetch_from)
 
-    def test_disturbing_prompts_are_kept_together(self):
-        """A prompt of 40,000 tokens is read while chats stream on the engine.
+    def test_disturbing_prompts_are_concentrated_on_few_engines(self):
+        """An engine runs a prefill of 40,000 tokens beside streaming chats.
 
-        Each of its steps takes longer, so that five steps, an event, take
-        over 300 ms: every chat beside it is late.  Spread over all engines a
-        few such prompts a second would make a fifth of all chats late.
+        It lengthens each step, so that an event of five steps takes over 300 ms
+        and every chat on the engine is late.  If all engines ran such prompts, a
+        few of them a second would make a fifth of all chats late.
         """
         loads = make_map()
         for n, name in enumerate(ENGINES):
@@ -206,7 +210,7 @@
         choice = choose_engine(loads, make_demand(chat), now, rng)
         self.assertNotIn(choice.target.info.name, chosen)
 
-    def test_a_slow_engine_is_spared_prompts_that_would_disturb_there(self):
+    def test_prompts_that_disturb_only_a_slow_engine_go_to_a_fast_one(self):
         loads = make_map(("slow", "fast"))
         for _ in range(20):
             loads.targets["slow"].measure(span=157.0, predicted=100.0)
@@ -221,7 +225,7 @@
 
 
 class UsableTest(unittest.TestCase):
-    def test_leaving_and_excluded_engines_get_nothing(self):
+    def test_leaving_and_excluded_engines_are_not_chosen(self):
         loads = make_map(("e0", "e1"))
         loads.declare(TargetInfo("e0", "advice", "a:1", "north", 64, leaving=True))
         demand = make_demand(Prompt((), 10, 10))
@@ -230,20 +234,20 @@
         self.assertEqual(choice.target.info.name, "e1")
         self.assertIsNone(choose_engine(loads, demand, 0.0, rng, {"e1"}))
 
-    def test_when_all_are_ejected_all_are_tried(self):
+    def test_ejected_engines_are_used_if_all_are_ejected(self):
         loads = make_map(("e0",))
         loads.targets["e0"].health.eject(0.0, random.Random(1))
         demand = make_demand(Prompt((), 10, 10))
         self.assertIsNotNone(choose_engine(loads, demand, 1.0, random.Random(1)))
 
-    def test_a_plain_request_goes_to_the_target_with_the_most_room(self):
+    def test_a_plain_request_goes_to_the_target_with_most_free_slots(self):
         loads = make_map(("p0", "p1"), slots=2, service="desk")
         for run in ("a", "b", "c"):
             loads.send("p0", run, Prompt(), 0, 0.0, 0)
         choice = choose_plain(loads, "desk", "north", 40.0, random.Random(1), now=0.0)
         self.assertEqual((choice.target.info.name, choice.wait), ("p1", 0.0))
 
-    def test_the_wait_of_a_plain_request_counts_what_is_ahead(self):
+    def test_the_wait_of_a_plain_request_includes_the_queue_ahead(self):
         loads = make_map(("p0",), slots=2, service="desk")
         for run in range(5):
             loads.send("p0", str(run), Prompt(), 0, 0.0, 0)
--- a/tests/core/test_concurrency.py
+++ b/tests/core/test_concurrency.py
@@ -1,4 +1,4 @@
-"""The parts of many routers add up to what a target runs."""
+"""The shares of all routers add up to the slots of a target."""
 
 import unittest
 
@@ -7,10 +7,11 @@
 
 
 class LimitTest(unittest.TestCase):
-    def test_parts_of_unequal_routers_fill_the_target_and_no_more(self):
-        """Three routers hold 3, 1 and 0 of 8 slots and hear the same report.
+    def test_shares_of_unequally_loaded_routers_fill_the_target(self):
+        """Three routers use 3, 1 and 0 of 8 slots and receive the same report.
 
-        The room of 4 is parted 4:2:1 over 7, as 16/7, 8/7 and 4/7.
+        The 4 free slots are divided 4:2:1, into 16/7, 8/7 and 4/7.  The last router
+        gets the equal share of 8/3 instead, the least that a router gets.
         """
         limits = [Limit(8, 3) for _ in range(3)]
         for limit, own in zip(limits, (3, 1, 0), strict=True):
@@ -21,20 +22,20 @@
         self.assertAlmostEqual(limits[1].share, 8 / 3)
         self.assertAlmostEqual(limits[2].share, 8 / 3)
 
-    def test_work_sent_after_the_report_is_not_taken_for_that_of_others(self):
+    def test_work_sent_after_the_report_is_not_subtracted_from_it(self):
         limit = Limit(8, 2)
         limit.change(+1, 1.0)
         limit.change(+1, 5.0)
         limit.report(LoadReport("e1", 3, 0, as_of=2.0), 6.0)
         self.assertEqual(limit.others, 2)
 
-    def test_queue_at_the_target_shows_its_true_slots(self):
+    def test_queue_at_the_target_shows_its_actual_slots(self):
         limit = Limit(8, 1)
         limit.report(LoadReport("e1", 4, 6, as_of=1.0), 2.0)
         self.assertEqual(limit.slots, 4.0)
         self.assertEqual(limit.share, 4.0)
 
-    def test_parts_fall_back_to_equal_when_reports_stop(self):
+    def test_share_falls_back_to_that_without_reports_when_they_stop(self):
         limit = Limit(8, 4)
         limit.report(LoadReport("e1", 0, 0, as_of=1.0), 2.0)
         self.assertFalse(limit.expire(1.0 + STALE))
--- a/tests/core/test_loadmap.py
+++ b/tests/core/test_loadmap.py
@@ -24,7 +24,7 @@
         prompt = Prompt(parts, tokens, 100)
         loads.send(name, run, prompt, cached, now, CAPACITY)
 
-    def test_backlog_is_what_waits_less_what_was_worked_on(self):
+    def test_backlog_is_the_pending_prefill_time_less_the_elapsed_time(self):
         loads = make_map()
         self.send(loads, "a", 6_420)
         self.send(loads, "b", 6_420)
@@ -35,7 +35,7 @@
         rest = prefill_time(6_420, 0) - 20.0
         self.assertAlmostEqual(loads.targets["e1"].backlog(150.0), rest)
 
-    def test_an_end_frees_what_never_began(self):
+    def test_the_end_of_a_run_that_never_began_clears_its_load(self):
         loads = make_map()
         self.send(loads, "a", 6_420)
         loads.end("e1", "a")
@@ -43,7 +43,7 @@
         target = loads.targets["e1"]
         self.assertEqual((target.backlog(0.0), target.run_tokens), (0.0, 0))
 
-    def test_a_part_counts_only_behind_those_before_it(self):
+    def test_a_part_is_cached_only_together_with_those_before_it(self):
         loads = make_map()
         parts = (("a", 100), ("b", 50))
         self.send(loads, "r", 150, parts=parts)
@@ -52,7 +52,7 @@
         mixed = Prompt((("x", 100), ("b", 50)), 150)
         self.assertEqual(target.count_cached(mixed), 0)
 
-    def test_the_least_recently_used_parts_yield(self):
+    def test_the_least_recently_used_parts_are_evicted(self):
         loads = make_map()
         self.send(loads, "r1", 60_000, parts=(("a", 60_000),))
         loads.end("e1", "r1")
@@ -63,7 +63,7 @@
         self.send(loads, "r3", 40_000, parts=(("c", 40_000),))
         self.assertEqual(list(target.parts), ["c"])
 
-    def test_parts_that_another_tells_of_need_not_be_read(self):
+    def test_parts_that_another_router_reports_count_as_cached(self):
         loads = make_map()
         loads.hold("e1", (("a", 640),), CAPACITY)
         prompt = Prompt((("a", 640), ("b", 2)), 642, 50)
@@ -71,14 +71,14 @@
         self.assertEqual(target.count_cached(prompt), 640)
         self.assertEqual(target.backlog(0.0), 0.0)
 
-    def test_a_target_born_anew_holds_nothing(self):
+    def test_a_restarted_target_has_no_load_and_an_empty_cache(self):
         loads = make_map()
         self.send(loads, "r", 100, parts=(("a", 100),))
         loads.declare(TargetInfo("e1", "advice", "10.0.0.1:80", "north", 8, born=7))
         self.assertEqual(loads.targets["e1"].runs, {})
         self.assertEqual(loads.targets["e1"].part_tokens, 0)
 
-    def test_runs_that_nobody_ends_are_forgotten(self):
+    def test_runs_without_an_end_expire(self):
         loads = make_map()
         self.send(loads, "r", 100)
         loads.expire(LONGEST_RUN)
@@ -86,32 +86,32 @@
         loads.expire(LONGEST_RUN + 1.0)
         self.assertEqual(loads.targets["e1"].runs, {})
 
-    def test_runs_of_a_lost_router_are_forgotten(self):
+    def test_runs_of_a_lost_router_are_removed(self):
         loads = make_map()
         self.send(loads, "edge-1.aa/1", 100)
         self.send(loads, "edge-2.bb/1", 100)
         loads.forget_runs("edge-1.aa/")
         self.assertEqual(list(loads.targets["e1"].runs), ["edge-2.bb/1"])
 
-    def test_news_of_unknown_targets_is_passed_over(self):
+    def test_notifications_about_unknown_targets_are_ignored(self):
         loads = make_map()
         loads.begin("e9", "a", 0.0)
         loads.end("e9", "a")
         self.send(loads, "a", 10, name="e9")
 
-    def test_a_slow_engine_is_learned(self):
+    def test_the_speed_of_a_slow_engine_is_measured(self):
         target = make_map().targets["e1"]
         for _ in range(20):
             target.measure(span=137.0, predicted=100.0)
         self.assertAlmostEqual(target.speed.value, 1.3, places=2)
 
-    def test_short_waits_tell_nothing_of_speed(self):
+    def test_short_waits_do_not_change_the_measured_speed(self):
         target = make_map().targets["e1"]
         target.measure(span=500.0, predicted=10.0)
         self.assertEqual(target.speed.value, 1.0)
 
-    def test_only_long_prompts_make_streams_pause(self):
+    def test_only_long_prefills_make_streams_exceed_their_longest_pause(self):
         self.assertLess(longest_pause(20_000, 0, 5), 300.0)
         self.assertGreater(longest_pause(25_000, 0, 5), 300.0)
-        # Of a long prompt whose beginning is cached, little is read.
+        # Of a long prompt with a cached prefix, only the rest is computed.
         self.assertLess(longest_pause(2_000, 40_000, 5), 120.0)
--- a/tests/core/test_pools.py
+++ b/tests/core/test_pools.py
@@ -1,4 +1,4 @@
-"""The order in which a content meets the targets of a pool."""
+"""The ranking of a pool's targets for a content."""
 
 import unittest
 
@@ -10,24 +10,24 @@
 
 
 class OrderTest(unittest.TestCase):
-    def test_order_meets_every_target_of_a_small_pool_once(self):
-        """Guards against a content for which no second target is left."""
+    def test_ranking_contains_every_target_of_a_small_pool_once(self):
+        """A ranking with repeated targets could leave a content no second target."""
         for count in range(1, 13):
             pool = make_pool(count)
             for n in range(50):
                 names = pool.order(f"c{n}")
                 self.assertEqual(sorted(names), sorted(f"e{n}" for n in range(count)))
 
-    def test_contents_spread_over_the_targets(self):
+    def test_contents_are_distributed_evenly_over_the_targets(self):
         pool = make_pool(9)
-        firsts = [pool.order(f"c{n}")[0] for n in range(900)]
-        seconds = [pool.order(f"c{n}")[1] for n in range(900)]
-        for names in (firsts, seconds):
+        first_ranked = [pool.order(f"c{n}")[0] for n in range(900)]
+        second_ranked = [pool.order(f"c{n}")[1] for n in range(900)]
+        for names in (first_ranked, second_ranked):
             counts = [names.count(f"e{n}") for n in range(9)]
             self.assertGreater(min(counts), 60)
             self.assertLess(max(counts), 140)
 
-    def test_order_is_the_same_at_every_router(self):
+    def test_ranking_is_the_same_at_every_router(self):
         self.assertEqual(make_pool(9).order("c1"), make_pool(9).order("c1"))
 
 
--- a/tests/core/test_prefixes.py
+++ b/tests/core/test_prefixes.py
@@ -1,4 +1,4 @@
-"""Beliefs about caches stay useful when events are late, lost or begin anew."""
+"""The prefix index remains useful when cache events are late, lost or restarted."""
 
 import unittest
 
@@ -8,27 +8,27 @@
 
 class PrefixTest(unittest.TestCase):
     def setUp(self):
-        self.belief = PrefixBelief()
-        self.belief.take(CacheEvent("e1", 7, stored=("a", "b")))
+        self.index = PrefixBelief()
+        self.index.take(CacheEvent("e1", 7, stored=("a", "b")))
 
-    def test_late_event_of_before_changes_nothing(self):
-        self.belief.take(CacheEvent("e1", 6, evicted=("a", "b")))
-        self.assertEqual(self.belief.matched("e1", ("a", "b")), 2)
+    def test_event_that_arrives_out_of_order_is_ignored(self):
+        self.index.take(CacheEvent("e1", 6, evicted=("a", "b")))
+        self.assertEqual(self.index.matched("e1", ("a", "b")), 2)
 
-    def test_gap_keeps_what_is_believed(self):
-        self.belief.take(CacheEvent("e1", 20, stored=("c",)))
-        self.assertEqual(self.belief.matched("e1", ("a", "b")), 2)
+    def test_gap_in_the_sequence_keeps_the_entries(self):
+        self.index.take(CacheEvent("e1", 20, stored=("c",)))
+        self.assertEqual(self.index.matched("e1", ("a", "b")), 2)
 
-    def test_restarted_target_is_believed_empty_and_heard_again(self):
-        """An engine restarts: its cache is empty and its numbers begin anew.
+    def test_restart_of_a_target_clears_its_entries_and_its_sequence(self):
+        """An engine restarts with an empty cache and a new sequence of events.
 
-        Without notice its events would be ignored until they pass the old
-        number, and work would be sent to a cache that is gone.
+        If the restart went undetected, its events would be ignored until their
+        numbers exceed the old ones, and work would be sent there for a lost cache.
         """
-        self.belief.take(CacheEvent("e1", 1, stored=("x",)))
-        self.assertEqual(self.belief.matched("e1", ("a", "b")), 0)
-        self.belief.take(CacheEvent("e1", 2, stored=("y",)))
-        self.assertEqual(self.belief.matched("e1", ("y",)), 1)
+        self.index.take(CacheEvent("e1", 1, stored=("x",)))
+        self.assertEqual(self.index.matched("e1", ("a", "b")), 0)
+        self.index.take(CacheEvent("e1", 2, stored=("y",)))
+        self.assertEqual(self.index.matched("e1", ("y",)), 1)
 
 
 if __name__ == "__main__":
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -10,15 +10,15 @@
 )
 
 
-def make_rule(name: str, prefix: str, **rest: object) -> Rule:
-    figures = {"services": (("s", 1.0),), "timeout": 1_000.0, "objective": 100.0}
-    kind = rest.pop("kind", RequestKind.IDEMPOTENT)
-    return Rule(name, "shop.example", prefix, kind, **{**figures, **rest})
+def make_rule(name: str, prefix: str, **fields: object) -> Rule:
+    defaults = {"services": (("s", 1.0),), "timeout": 1_000.0, "objective": 100.0}
+    kind = fields.pop("kind", RequestKind.IDEMPOTENT)
+    return Rule(name, "shop.example", prefix, kind, **{**defaults, **fields})
 
 
 class RouteTableTest(unittest.TestCase):
-    def make_table(self, *rules: Rule, **rest: object) -> RouteTable:
-        return RouteTable(Configuration(1, rules, **rest))
+    def make_table(self, *rules: Rule, **fields: object) -> RouteTable:
+        return RouteTable(Configuration(1, rules, **fields))
 
     def test_the_longest_prefix_wins_whatever_the_order(self):
         short, long = make_rule("a", "/x/"), make_rule("b", "/x/y/")
@@ -27,17 +27,17 @@
             self.assertEqual(table.find("shop.example", "/x/y/1").name, "b")
             self.assertEqual(table.find("shop.example", "/x/z").name, "a")
 
-    def test_a_prefix_ends_at_a_slash(self):
+    def test_a_prefix_with_a_slash_matches_only_paths_below_it(self):
         table = self.make_table(make_rule("a", "/x/"))
         self.assertIsNone(table.find("shop.example", "/xy"))
         self.assertIsNone(table.find("shop.example", "/x"))
 
-    def test_the_host_counts_without_its_port_and_case(self):
+    def test_the_host_is_matched_without_its_port_and_case(self):
         table = self.make_table(make_rule("a", "/x/"))
         self.assertEqual(table.find("SHOP.example:8080", "/x/1").name, "a")
         self.assertIsNone(table.find("other.example", "/x/1"))
 
-    def test_a_credential_names_its_organisation(self):
+    def test_an_organisation_is_found_by_each_of_its_credentials(self):
         pounds = Tenancy("pounds", ("k1", "k2"), reserved=10)
         table = self.make_table(organisations={"pounds": pounds})
         self.assertEqual(table.find_organisation("k2"), pounds)
@@ -49,7 +49,7 @@
         drawn = [rule.draw_service(rng) for _ in range(1_000)]
         self.assertTrue(60 < drawn.count("t") < 140, drawn.count("t"))
 
-    def test_the_shortest_pause_objective_of_a_service_counts(self):
+    def test_the_shortest_pause_objective_of_a_service_applies(self):
         rules = [
             make_rule("a", "/a/", pause_objective=300.0),
             make_rule("b", "/b/", pause_objective=200.0),
@@ -59,7 +59,7 @@
         self.assertEqual(table.find_pause("s"), 200.0)
         self.assertEqual(table.find_pause("t"), float("inf"))
 
-    def test_only_what_may_run_twice_is_repeatable(self):
+    def test_only_idempotent_and_resumable_requests_are_repeatable(self):
         streaming = RequestKind.STREAMING
         self.assertTrue(make_rule("a", "/").repeatable)
         self.assertFalse(
