--- a/anvilshift/core/choosing.py
+++ b/anvilshift/core/choosing.py
@@ -237,7 +237,7 @@
         cost += _STREAM_MS * running
     else:
         cost += choice.wait + _RUNNING_MS * running
-        cost += _DISTURBED_MS * (now - target.disturbed < _DISTURBED_FOR)
+        cost += _DISTURBED_MS * (now - target.last_disturbed < _DISTURBED_FOR)
     if demand.capacity:
         need = target.run_tokens + prompt.tokens - choice.cached + prompt.most_answer
         cost += _CACHE_OVERFLOW_MS * max(0.0, need / demand.capacity - 1.0)
--- a/anvilshift/core/concurrency.py
+++ b/anvilshift/core/concurrency.py
@@ -12,8 +12,9 @@
 most work gets the most; and as shares are computed for the instant of the report,
 applying a delayed report again changes nothing.  If a target has more requests than
 slots, each router's share is reduced in proportion.  No share is less than an equal
-one, or a router that joins later would never get a slot.  The fraction of a share is
-rounded at random, so that forty routers don't all round it up.
+one, even where the shares then exceed the slots, or a router that joins later would
+never get a slot.  The fraction of a share is rounded at random, so that forty routers
+don't all round it up.
 """
 
 import random
--- a/anvilshift/core/loadmap.py
+++ b/anvilshift/core/loadmap.py
@@ -176,11 +176,11 @@
         Predicted prefill time of the runs that haven't begun to answer.
     run_tokens
         Cache tokens that its runs need beyond those cached already.
-    progressed
+    last_begun
         When a run last began to answer: the pending prefills have run since then.
     speed
         Measured prefill time relative to the users' reference engine.
-    disturbed
+    last_disturbed
         When a prompt was last sent here whose prefill makes concurrent streams late.
     limit
         Rate limit that it has announced, if any.
@@ -196,8 +196,8 @@
     part_tokens: int = 0
     pending: Millis = 0.0
     run_tokens: int = 0
-    progressed: Millis = -math.inf
-    disturbed: Millis = -math.inf
+    last_begun: Millis = -math.inf
+    last_disturbed: Millis = -math.inf
     health: Health = field(default_factory=Health)
     speed: Mean = field(default_factory=lambda: Mean(1.0))
     limit: RateLimit | None = None
@@ -236,7 +236,7 @@
         if self.pending <= 0.0:
             return 0.0
         oldest = min(run.since for run in self.runs.values() if not run.begun)
-        elapsed = now - max(oldest, self.progressed)
+        elapsed = now - max(oldest, self.last_begun)
         return max(0.0, self.pending * self.speed.value - elapsed)
 
     def count_cached(self, prompt: Prompt) -> int:
@@ -363,7 +363,7 @@
         target.run_tokens += tokens
         target.remember(prompt.parts, capacity)
         if disturbing:
-            target.disturbed = now
+            target.last_disturbed = now
 
     def hold(self, name: str, parts: Iterable[tuple[str, int]], capacity: int) -> None:
         """Record that a target has parts of prompts in its cache."""
@@ -379,7 +379,7 @@
             return
         entry.begun = True
         target.pending -= entry.work
-        target.progressed = now
+        target.last_begun = now
         self._reset_rounding(target)
 
     def end(self, name: str, run: str) -> None:
--- a/anvilshift/core/pools.py
+++ b/anvilshift/core/pools.py
@@ -3,8 +3,8 @@
 Requests of many organisations share few sets of candidates.  Each distinct set with
 its priorities is a pool; it has its own queues and maintains the set of its targets
 with free slots, so that they needn't be searched.  Pools that have a target in
-common belong to one kind: they share the organisations' service counts of fair
-queueing and the measured durations.
+common belong to one kind: they share the organisations' tags of fair queueing and
+the measured durations.
 """
 
 from collections.abc import Iterator, Mapping
@@ -58,7 +58,9 @@
 
     def count_out(self) -> int:
         """Return how many targets are ejected or being probed."""
-        return sum(b.health.state is not State.HEALTHY for b in self.views.values())
+        return sum(
+            view.health.state is not State.HEALTHY for view in self.views.values()
+        )
 
 
 @dataclass(eq=False)
--- a/anvilshift/core/routing.py
+++ b/anvilshift/core/routing.py
@@ -101,14 +101,14 @@
 
     Parameters
     ----------
-    most_connections
+    max_connections
         Connections that one target accepts from all routers together.
     model
         Figures of its engines; None for a plain service.
     """
 
     name: str
-    most_connections: int
+    max_connections: int
     model: ModelFigures | None = None
 
 
--- a/tests/core/test_concurrency.py
+++ b/tests/core/test_concurrency.py
@@ -1,4 +1,4 @@
-"""The shares of all routers add up to the slots of a target."""
+"""The division of a target's slots among routers."""
 
 import unittest
 
