--- a/anvilshift/core/__init__.py
+++ b/anvilshift/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decide without I/O: states, rules and policies that every layer rests on."""
+"""Core logic without I/O: the states, rules and policies used by every other layer."""
--- a/anvilshift/core/blame.py
+++ b/anvilshift/core/blame.py
@@ -1,15 +1,16 @@
-"""Know a request that crashes each target which runs it.
-
-Load pattern: a request crashes its engine, and its caller sends it again, at any
-router, under a new id.  Without this, each time costs another engine and all
-that ran there.
-
-Requests are known by their content.  How many targets one may reach without a
-whole answer is bounded whatever is known of crashes (see `exposure`).  Blame only
-decides when it is refused: a broken answer alone proves nothing, since answers are
-lost and spoiled without a crash.  Content is blamed when its target is found gone
-soon after, and refused once three targets were lost to it.  Who merely ran beside
-it falls with one or two.
+"""Detect requests that crash every target that runs them (poison requests).
+
+Load pattern: a request crashes its engine, and its caller retries it, through any
+router and under a new id.  Without detection, each retry crashes another engine and
+fails all requests that run there.
+
+Requests are identified by their content.  The number of targets that a content may
+reach without a complete answer is bounded independently of known crashes (see
+`exposure`).  Blame decides only when the content is refused.  An answer that breaks off
+is not enough, because answers are also lost or corrupted without a crash: a content is
+blamed if its target is found to be gone shortly afterwards, and refused once it is
+blamed for the loss of three targets.  Requests that only ran beside it are blamed for
+one or two.
 """
 
 from collections import OrderedDict
@@ -19,29 +20,33 @@
 from anvilshift.core.exposure import Exposure
 
 CRASHES = 3
-"""Targets that content may cost.  An innocent request that its caller sends twice
-falls with two crashes at the most."""
-_FOUND_WITHIN: Millis = 4 * SECOND
-"""A crashed target refuses connections at once, and its next request shows it."""
-_FORGET_AFTER: Millis = 120 * SECOND
-_MOST = 2_000
-"""Contents that are remembered: a crash takes down some twenty requests."""
+"""Crashed targets after which a content is refused.  A harmless request that its
+caller sends twice is present at two crashes at most."""
+_DETECTION_WINDOW: Millis = 4 * SECOND
+"""Longest time from a broken answer to the discovery that the target is gone.  A
+crashed target refuses connections at once, so the next request to it shows the
+crash."""
+_BLAME_LIFETIME: Millis = 120 * SECOND
+_MAX_RECORDS = 2_000
+"""Most contents that are remembered; one crash fails about twenty requests."""
 
 
 @dataclass
 class _Record:
+    """The crashed targets that one content is blamed for, and the last crash."""
+
     targets: set[str] = field(default_factory=set)
     at: Millis = 0.0
 
 
 @dataclass
 class BlameBook:
-    """Which content was running where a target crashed.
+    """The contents that were running on targets when these crashed.
 
     Attributes
     ----------
     exposure
-        What each content may still cost.
+        The targets that each content has reached and may still reach.
 
     Examples
     --------
@@ -57,28 +62,29 @@
     """
 
     exposure: Exposure = field(default_factory=lambda: Exposure(CRASHES))
-    _broken: dict[str, list[tuple[str, Millis]]] = field(default_factory=dict)
+    _broken_answers: dict[str, list[tuple[str, Millis]]] = field(default_factory=dict)
     _records: OrderedDict[str, _Record] = field(default_factory=OrderedDict)
 
     def broke(self, content: str, target: str, now: Millis) -> list[str]:
-        """Take in that a target broke an answer off.
+        """Record that a target broke off an answer.
 
         Returns
         -------
         list[str]
-            The targets that are worth a connection to see if they are gone: none
-            at first, and once another target breaks the content off as well both,
-            or the first crash would count for nothing.
+            The targets that should be checked by opening a connection.  Empty after
+            the first broken answer of a content that isn't blamed yet.  Once a second
+            target breaks off the same content, both are returned: otherwise the first
+            crash would never be counted.
         """
         recent = [
-            (one, at)
-            for one, at in self._broken.get(target, [])
-            if now - at <= _FOUND_WITHIN
+            (broken_content, at)
+            for broken_content, at in self._broken_answers.get(target, [])
+            if now - at <= _DETECTION_WINDOW
         ]
-        self._broken[target] = [*recent, (content, now)]
+        self._broken_answers[target] = [*recent, (content, now)]
         others = [
             name
-            for name, broken in self._broken.items()
+            for name, broken in self._broken_answers.items()
             if name != target and self._list_recent(broken, now).count(content)
         ]
         if not others and content not in self._records:
@@ -87,38 +93,38 @@
 
     @staticmethod
     def _list_recent(broken: list[tuple[str, Millis]], now: Millis) -> list[str]:
-        return [one for one, at in broken if now - at <= _FOUND_WITHIN]
+        return [content for content, at in broken if now - at <= _DETECTION_WINDOW]
 
     def lost(self, target: str, now: Millis) -> list[str]:
-        """Take in that a target is gone; return what is blamed for it."""
-        broken = self._broken.pop(target, [])
+        """Record that a target is gone; return the contents blamed for it."""
+        broken = self._broken_answers.pop(target, [])
         blamed = self._list_recent(broken, now)
         for content in blamed:
             self.hear(content, target, now)
         return blamed
 
     def hear(self, content: str, target: str, now: Millis) -> None:
-        """Take in that content is blamed for a target's crash."""
+        """Record that a content is blamed for a target's crash, here or elsewhere."""
         self.exposure.crashed(content, target, now)
         record = self._records.setdefault(content, _Record())
         record.targets.add(target)
         record.at = now
         self._records.move_to_end(content)
-        if len(self._records) > _MOST:
+        if len(self._records) > _MAX_RECORDS:
             self._records.popitem(last=False)
 
     def clear(self, content: str) -> None:
-        """Take in that content was answered whole."""
+        """Clear a content of all blame after a complete answer."""
         self._records.pop(content, None)
         self.exposure.clear(content)
 
     def is_poison(self, content: str, now: Millis) -> bool:
-        """Tell whether content must not run any more."""
+        """Tell whether a content is blamed for enough crashes to be refused."""
         self.exposure.expire(content, now)
         record = self._records.get(content)
         if record is None:
             return False
-        if now - record.at > _FORGET_AFTER:
+        if now - record.at > _BLAME_LIFETIME:
             del self._records[content]
             return False
         return len(record.targets) >= CRASHES
--- a/anvilshift/core/clock.py
+++ b/anvilshift/core/clock.py
@@ -1,33 +1,33 @@
 """Time in milliseconds.
 
-The core never reads a clock: it takes instants as arguments.  Daemons hold one
-`Clock`; tests and virtual-time runs hold a `ManualClock`.
+The core never reads a clock: instants are passed to it as arguments.  Each daemon has
+one `Clock`; tests and runs in virtual time use a `ManualClock`.
 """
 
 import time
 from typing import Protocol
 
 Millis = float
-"""An instant or a span in milliseconds; instants share an arbitrary origin."""
+"""An instant or a duration in milliseconds; all instants share an arbitrary origin."""
 
 SECOND: Millis = 1000.0
 STARTED: Millis = time.monotonic() * SECOND
-"""An instant at which this process ran already, by the machine's monotonic clock: as
-early as its first module can tell."""
+"""Instant of this module's import, by the machine's monotonic clock: the earliest known
+instant at which this process was running."""
 
 
 class Clock(Protocol):
-    """Tell the present instant."""
+    """A source of the current time."""
 
     def now(self) -> Millis:
         """Return the present instant in milliseconds."""
 
     def wall(self) -> int:
-        """Return seconds since the epoch, for records that outlive a process."""
+        """Return the seconds since the Unix epoch, for records kept across restarts."""
 
 
 class MonotonicClock:
-    """Tell time by the machine's monotonic clock, which never goes back.
+    """The machine's monotonic clock, which never goes backwards.
 
     Examples
     --------
@@ -41,12 +41,12 @@
         return time.monotonic() * SECOND
 
     def wall(self) -> int:
-        """Return seconds since the epoch."""
+        """Return the seconds since the Unix epoch."""
         return int(time.time())
 
 
 class ManualClock:
-    """Tell the time that its owner has set.
+    """A clock that is advanced explicitly, for tests and virtual time.
 
     Examples
     --------
@@ -59,14 +59,14 @@
         self._now = start
 
     def now(self) -> Millis:
-        """Return the instant that was set last."""
+        """Return the instant that the clock is set to."""
         return self._now
 
     def wall(self) -> int:
-        """Return the instant in whole seconds."""
+        """Return the clock's instant in whole seconds."""
         return int(self._now / SECOND)
 
     def advance(self, span: Millis) -> Millis:
-        """Move the clock on by a span and return the new instant."""
+        """Advance the clock by a duration and return the new instant."""
         self._now += span
         return self._now
--- a/anvilshift/core/declarations.py
+++ b/anvilshift/core/declarations.py
@@ -1,4 +1,7 @@
-"""What operators declare: budgets, organisations, routes, engine groups, policies."""
+"""Objects declared by operators.
+
+These are budgets, organisations, routes, engine groups and policies.
+"""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -9,7 +12,7 @@
 
 
 class TargetKind(Enum):
-    """What stands behind a route."""
+    """Whether a route leads to a model or to a plain service."""
 
     MODEL = "model"
     SERVICE = "service"
@@ -17,16 +20,16 @@
 
 @dataclass(frozen=True)
 class Budget:
-    """A prepaid budget; its tokens come by top-up.
+    """A prepaid budget, filled by top-ups.
 
     Parameters
     ----------
     allowance
         Tokens that one router may bill before the platform has recorded the
-        bills.  More of it lives longer through an outage and leaves more in
-        doubt after a crash.
+        bills.  A larger allowance lets routers serve longer during an outage, but
+        leaves more tokens in doubt after a crash.
     grant
-        Most tokens that one router draws at once.
+        Most tokens that one router draws from the budget at once.
     """
 
     name: str
@@ -44,7 +47,7 @@
     credentials
         SHA-256 hashes, in hexadecimal, of the tokens that its callers present.
     weight
-        Share of a full engine relative to other organisations.
+        Share of a full engine's capacity, relative to other organisations.
     """
 
     name: str
@@ -56,18 +59,18 @@
 
 @dataclass(frozen=True)
 class Route:
-    """A model or a plain service that callers may name.
+    """A model or a plain service that callers address by name.
 
     Parameters
     ----------
     engines
         Selects the engine groups that serve the route.
     request_class
-        The class by which histograms are kept.
+        Class of requests for which separate histograms are kept.
     cost
-        Tokens that a call of a plain service costs; engines report their own.
+        Tokens charged for a call of a plain service; engines report the tokens used.
     timeout
-        Milliseconds that a call has when its caller states no deadline.
+        Milliseconds until the deadline of a call whose caller sets none.
     non_idempotent
         Whether every call of the route runs at most once.
     """
@@ -84,16 +87,17 @@
 
 @dataclass(frozen=True)
 class Engine:
-    """A target as its group declares it.
+    """A target, as declared in its group.
 
     Parameters
     ----------
     slots
-        Requests that the target runs at once before it queues them itself.
+        Requests that the target runs concurrently before it queues further ones.
     checks_fencing
-        Whether it refuses an order that carries an old fencing number.
+        Whether the target refuses an order with an outdated fencing number.
     host
-        Its host's name on the platform's list; empty when it is the target's.
+        Name of the target's host in the platform's list; empty if it is the same as
+        the target's name.
     """
 
     name: str
@@ -105,7 +109,7 @@
 
     @property
     def host_name(self) -> str:
-        """Return the name under which the platform lists its host."""
+        """Return the name under which the platform lists the target's host."""
         return self.host or self.name
 
 
@@ -116,8 +120,8 @@
     Parameters
     ----------
     desired
-        What every engine of the group shall have loaded, such as its model,
-        adapter, version and role; orders are given until it has.
+        State that every engine of the group must have, such as its model, adapter,
+        version and role; routers send orders to an engine until it has that state.
     """
 
     name: str
@@ -129,7 +133,10 @@
 
     @property
     def offers(self) -> frozenset[str]:
-        """Return names of what its targets serve; groups that share none differ."""
+        """Return the names of what the targets serve.
+
+        Groups without a common name serve different work.
+        """
         return frozenset(self.models or [self.kind.value])
 
     def serves(self, route: "Route") -> bool:
@@ -141,10 +148,10 @@
 
 @dataclass(frozen=True)
 class Policy:
-    """Which organisations may use which engine groups, at what priority.
+    """A rule that lets organisations use engine groups at a priority.
 
-    A higher priority is served first.  Where several policies match, the one
-    with the highest priority decides; the name breaks a tie.
+    Work with a higher priority is served first.  If several policies match, the
+    one with the highest priority applies; ties are resolved by name.
     """
 
     name: str
@@ -161,7 +168,7 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """An engine that an organisation may use, and why."""
+    """An engine that an organisation may use, with the policy that allows it."""
 
     engine: Engine
     group: str
@@ -184,22 +191,22 @@
     def from_declarations(
         cls, declarations: list[Declaration], revision: int = 0
     ) -> "Catalogue":
-        """Gather declarations by kind and name."""
+        """Build a catalogue that indexes declarations by kind and name."""
 
-        def named(kind: type) -> dict[str, Declaration]:
+        def index_by_name(kind: type) -> dict[str, Declaration]:
             return {d.name: d for d in declarations if isinstance(d, kind)}
 
         return cls(
             revision,
-            named(Budget),  # type: ignore[arg-type]
-            named(Organisation),  # type: ignore[arg-type]
-            named(Route),  # type: ignore[arg-type]
-            named(EngineGroup),  # type: ignore[arg-type]
-            named(Policy),  # type: ignore[arg-type]
+            index_by_name(Budget),  # type: ignore[arg-type]
+            index_by_name(Organisation),  # type: ignore[arg-type]
+            index_by_name(Route),  # type: ignore[arg-type]
+            index_by_name(EngineGroup),  # type: ignore[arg-type]
+            index_by_name(Policy),  # type: ignore[arg-type]
         )
 
     def decide(self, organisation: Organisation, group: EngineGroup) -> Policy | None:
-        """Return the policy that lets an organisation use a group, if one does."""
+        """Return the policy that applies to an organisation and a group, if any."""
         matching = [
             policy
             for policy in self.policies.values()
@@ -209,7 +216,7 @@
         return max(matching, key=lambda p: (p.priority, p.name), default=None)
 
     def candidates(self, organisation: Organisation, route: Route) -> list[Candidate]:
-        """Return the engines that may serve an organisation's call of a route."""
+        """Return the engines that may serve an organisation's calls of a route."""
         found = []
         for group in self.groups.values():
             if not group.serves(route):
@@ -218,6 +225,6 @@
             if policy is None:
                 continue
             for engine in group.engines:
-                chosen = Candidate(engine, group.name, policy.priority, policy.name)
-                found.append(chosen)
+                candidate = Candidate(engine, group.name, policy.priority, policy.name)
+                found.append(candidate)
         return found
--- a/anvilshift/core/ejection.py
+++ b/anvilshift/core/ejection.py
@@ -1,18 +1,20 @@
-"""Take slow and failing targets out of use for a while.
+"""Eject slow and failing targets temporarily (outlier detection).
 
 Load pattern: one target answers ten times slower than the rest, or fails each
-request at once and so always looks idle.  Without this, the slow one holds
-requests until their deadlines, and the failing one draws more work than any
-other.
-
-A target is slow when its times are several times those of the others, each
-measured against what the same work is expected to take; that holds under
-overload too, when all are slow alike, and with few targets, where the slow one
-itself moves what is expected.  It is failing after several failures
-with different work and no answer between: one request that fails everywhere
-can't eject a target.  An ejected target comes back by one request at a time,
-then two, four and so on.  At most half of a kind is ejected: when more look
-bad, the measure or the load is at fault, and the rest must not be tipped over.
+request at once and therefore always looks idle.  Without ejection, the slow target
+holds requests until their deadlines, and the failing one attracts more work than any
+other target.
+
+A target counts as slow if its latencies, each divided by the latency expected for the
+same work, are several times those of the other targets.  The ratio also works under
+overload, when all targets are slow alike, and with few targets, where the slow target
+itself shifts the expected latency.  A target counts as failing after several failures
+of different work without an answer in between, so that one request that fails
+everywhere can't eject a target.
+
+An ejected target is probed with one request at a time, then two, four and so on.  At
+most half of the targets of a kind are ejected: if more look bad, the measurement or
+the load is the cause, and ejecting them would overload the rest.
 """
 
 import math
@@ -22,26 +24,29 @@
 
 from anvilshift.core.clock import SECOND, Millis
 
-_SLOW = 3.0
-"""Times the span of the others.  A full batch makes an engine up to about twice as
-slow as an idle one, so less than three would eject the merely busy."""
-_NOTICEABLE: Millis = 50.0
-"""Added to both spans: a few milliseconds more are no reason to eject, however
-many times the usual they are.  Users give a first token 920 ms."""
-_SLOW_SAMPLES = 4
-_GAIN = 0.3
-"""Three samples decide most of a mean of logarithms."""
-_FAILURES = 3
-_BASE: Millis = 2 * SECOND
-"""A restarted engine needs seconds; a first probe costs one request."""
-_LIMIT: Millis = 30 * SECOND
+_SLOW_RATIO = 3.0
+"""Ratio to the latency of the other targets above which a target is slow.  A full
+batch makes an engine up to about twice as slow as an idle one, so a factor below
+three would eject engines that are only busy."""
+_LATENCY_OFFSET: Millis = 50.0
+"""Added to the measured and to the expected latency, so that a few milliseconds more
+don't eject a target, whatever their ratio.  Users accept 920 ms for a first token."""
+_MIN_SAMPLES = 4
+_MIN_GAIN = 0.3
+"""Least weight of a new sample in the mean of logarithms; with it, the last three
+samples make up most of the mean."""
+_FAILURE_THRESHOLD = 3
+_BASE_EJECTION: Millis = 2 * SECOND
+"""Length of the first ejection.  An engine takes seconds to restart; a probe that
+comes too early costs one request."""
+_MAX_EJECTION: Millis = 30 * SECOND
 _JITTER = 0.3
-_PROVEN = 8
-"""Requests at once from which a returning target counts as healthy again."""
+_HEALTHY_CAP = 8
+"""Concurrent requests at which a probed target counts as healthy again."""
 
 
 class State(Enum):
-    """Whether a target is in use."""
+    """Whether a target is in use, ejected or being probed."""
 
     HEALTHY = "healthy"
     EJECTED = "ejected"
@@ -50,22 +55,27 @@
 
 @dataclass
 class Health:
-    """What is known of one target's answers.
+    """Latency and failure statistics of one target, and its ejection state.
 
     Attributes
     ----------
+    until
+        Instant at which the current ejection ends.
+    cap
+        Most concurrent requests while the target is being probed.
     level
-        Mean logarithm of its times over the expected ones.
+        Mean logarithm of the ratio of measured to expected latency.
     since
-        Work that was sent earlier says nothing of the target as it is now: a
-        slow target's last answers would otherwise pass for its recovery.
+        Instant of the last probe's start.  Answers to work that was sent earlier
+        are ignored: otherwise the last answers from before the ejection would be
+        taken for a recovery.
 
     Examples
     --------
     >>> health = Health()
     >>> for content in "abc":
     ...     health.add_failure(content)
-    >>> health.is_bad(usual=0.0)
+    >>> health.is_bad(baseline=0.0)
     True
     >>> health.eject(now=0.0, rng=random.Random(0))
     >>> health.state.value, health.until >= 2_000.0
@@ -78,64 +88,71 @@
     level: float = 0.0
     since: Millis = float("-inf")
     _samples: int = 0
-    _failed: set[str] = field(default_factory=set)
+    _failed_contents: set[str] = field(default_factory=set)
     _ejections: int = 0
 
-    def add_span(self, span: Millis, expected: Millis) -> None:
-        """Take in how long a step took against what was expected."""
+    def add_span(self, latency: Millis, expected: Millis) -> None:
+        """Add a latency sample to the mean, relative to the expected latency."""
         self._samples += 1
-        gain = max(_GAIN, 1.0 / self._samples)
-        sample = math.log((span + _NOTICEABLE) / (expected + _NOTICEABLE))
+        gain = max(_MIN_GAIN, 1.0 / self._samples)
+        sample = math.log((latency + _LATENCY_OFFSET) / (expected + _LATENCY_OFFSET))
         self.level += gain * (sample - self.level)
 
     def add_answer(self) -> None:
-        """Take in a whole answer."""
-        self._failed.clear()
+        """Record a complete answer; double the request limit of a probed target."""
+        self._failed_contents.clear()
         if self.state is State.PROBING:
             self.cap *= 2
-            if self.cap >= _PROVEN:
+            if self.cap >= _HEALTHY_CAP:
                 self.state, self._ejections = State.HEALTHY, 0
 
     def add_failure(self, content: str) -> None:
-        """Take in a failed attempt."""
-        self._failed.add(content)
+        """Record a failed attempt; repeated failures of one content count once."""
+        self._failed_contents.add(content)
 
-    def is_bad(self, usual: float) -> bool:
-        """Tell whether the target should be out of use.
+    def is_bad(self, baseline: float) -> bool:
+        """Tell whether the target should be ejected.
 
         Parameters
         ----------
-        usual
-            The level of the others.
+        baseline
+            Level of the other targets.
         """
-        is_slow = self.level - usual > math.log(_SLOW)
+        is_slow = self.level - baseline > math.log(_SLOW_RATIO)
         if self.state is State.PROBING:
-            return bool(self._failed) or is_slow
-        is_slow = is_slow and self._samples >= _SLOW_SAMPLES
-        return is_slow or len(self._failed) >= _FAILURES
+            return bool(self._failed_contents) or is_slow
+        is_slow = is_slow and self._samples >= _MIN_SAMPLES
+        return is_slow or len(self._failed_contents) >= _FAILURE_THRESHOLD
 
-    def slowness(self, usual: float) -> float:
-        """Return its times over the others', at least one."""
-        if self._samples < _SLOW_SAMPLES:
+    def slowness(self, baseline: float) -> float:
+        """Return the ratio of the target's latency to the others', at least 1."""
+        if self._samples < _MIN_SAMPLES:
             return 1.0
-        return math.exp(max(0.0, self.level - usual))
+        return math.exp(max(0.0, self.level - baseline))
 
     def eject(self, now: Millis, rng: random.Random) -> None:
-        """Take the target out of use for a while, longer each time."""
-        span = min(_LIMIT, _BASE * 2.0**self._ejections)
+        """Eject the target, for twice as long each time up to a limit."""
+        duration = min(_MAX_EJECTION, _BASE_EJECTION * 2.0**self._ejections)
         self._ejections += 1
-        self.until = now + span * rng.uniform(1.0, 1.0 + _JITTER)
+        self.until = now + duration * rng.uniform(1.0, 1.0 + _JITTER)
         self.state = State.EJECTED
 
     def probe(self, now: Millis) -> None:
-        """Let the target have one request at a time."""
+        """Start probing: reset the statistics and allow one request at a time."""
         self.state, self.cap, self.since = State.PROBING, 1, now
         self.level, self._samples = 0.0, 0
-        self._failed.clear()
+        self._failed_contents.clear()
 
 
 def may_eject(ejected: int, targets: int) -> bool:
-    """Tell whether one more target of a kind may be taken out of use.
+    """Tell whether one more target of a kind may be ejected.
+
+    Parameters
+    ----------
+    ejected
+        Targets of the kind that are out of use already.
+    targets
+        All targets of the kind.
 
     Examples
     --------
--- a/anvilshift/core/entrances.py
+++ b/anvilshift/core/entrances.py
@@ -1,31 +1,38 @@
-"""Choose the routers that a caller is told to connect to.
+"""Choose the router addresses that a caller receives.
 
 Load pattern: callers in three failure domains send prompts of tens of kilobytes, and
-each byte between failure domains is paid for and comes later.  Told of all routers,
-two callers in three would connect across domains.
+traffic between failure domains costs money and adds latency.  If every caller received
+the addresses of all routers, two in three would connect across domains.
 
-A caller is told of the routers in its own domain where these are enough to bear the
-loss of some; with fewer, a caller whose routers are all gone would have to ask again
-first, and wait for that.
+A caller receives only the routers in its own domain if these are enough to tolerate the
+loss of some.  With fewer, a caller that lost all its routers would first have to
+request a new list of addresses and wait for it.
 """
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-_ENOUGH = 4
-"""Routers of one failure domain whose addresses alone are told to its callers."""
+_MIN_LOCAL_ROUTERS = 4
+"""Number of routers in a failure domain from which its callers receive only these."""
 
 
 @dataclass(frozen=True)
 class Entrance:
-    """A router that takes callers."""
+    """A router that accepts connections from callers."""
 
     address: str
     failure_domain: str
 
 
-def choose_entrances(there: Sequence[Entrance], domain: str) -> tuple[str, ...]:
-    """Return the addresses that a caller of a failure domain is told.
+def choose_entrances(routers: Sequence[Entrance], domain: str) -> tuple[str, ...]:
+    """Return the router addresses for callers in a failure domain.
+
+    Parameters
+    ----------
+    routers
+        Routers that are reachable now.
+    domain
+        Failure domain of the caller; empty if unknown.
 
     Examples
     --------
@@ -36,7 +43,7 @@
     >>> len(choose_entrances(near + far, "south"))
     5
     """
-    near = [one.address for one in there if one.failure_domain == domain]
-    if len(near) >= _ENOUGH:
-        return tuple(near)
-    return tuple(one.address for one in there)
+    local = [router.address for router in routers if router.failure_domain == domain]
+    if len(local) >= _MIN_LOCAL_ROUTERS:
+        return tuple(local)
+    return tuple(router.address for router in routers)
--- a/anvilshift/core/errors.py
+++ b/anvilshift/core/errors.py
@@ -1,8 +1,8 @@
 """Numbered result codes and the errors that carry them.
 
-Each code says what became of the request's work (`Fate`), so that a caller
-knows whether sending it again can do harm.  docs/ERRORS.md shows the table; a
-test compares the two.
+Each code states whether the request's work ran (`Fate`), so that a caller can tell
+whether a retry is safe.  docs/ERRORS.md contains the table of codes; a test compares
+it with this module.
 """
 
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 
 class Fate(Enum):
-    """What became of the request's work at a target."""
+    """Whether the request's work ran at a target."""
 
     NOT_RUN = "not run"
     RAN = "ran"
@@ -32,12 +32,12 @@
     status
         HTTP status that carries the code to callers.
     fate
-        What became of the request's work.
+        Whether the request's work ran.
     meaning
-        One line for the table.
+        One-line description for the table.
     retry_after
-        Milliseconds until another try makes sense, where whoever gives up
-        knows no better; None where no other try can help.
+        Default milliseconds until a retry makes sense, used where the code that
+        raises the error has no better estimate; None if no retry can help.
     """
 
     number: int
@@ -51,10 +51,11 @@
 CODES: dict[int, Code] = {}
 
 
-_SOON: Millis = 200.0
-"""For what another router can do at once."""
-_LATER: Millis = 1_000.0
-"""For what a restart, a refill or a failover mends: those take about a second."""
+_SHORT_RETRY: Millis = 200.0
+"""Retry delay if another router can serve the request at once."""
+_RECOVERY_RETRY: Millis = 1_000.0
+"""Retry delay if a restart, a refill of tokens or a failover is needed; each takes
+about a second."""
 
 
 def _define(
@@ -105,7 +106,7 @@
     504,
     _NOT_RUN,
     "The deadline had passed before the work was sent.",
-    _LATER,
+    _RECOVERY_RETRY,
 )
 BAD_VALUE = _define(
     1009,
@@ -121,7 +122,7 @@
     402,
     _NOT_RUN,
     "The prepaid budget has too few tokens left.",
-    30 * _LATER,
+    30 * _RECOVERY_RETRY,
 )
 BUDGET_UNREACHABLE = _define(
     2002,
@@ -129,7 +130,7 @@
     503,
     _NOT_RUN,
     "Tokens may be left but can't be drawn now.",
-    _LATER,
+    _RECOVERY_RETRY,
 )
 BUDGET_FROZEN = _define(
     2003,
@@ -137,7 +138,7 @@
     503,
     _NOT_RUN,
     "A money invariant broke; this router stopped spending the budget.",
-    30 * _LATER,
+    30 * _RECOVERY_RETRY,
 )
 
 OVERLOADED = _define(
@@ -146,7 +147,7 @@
     503,
     _NOT_RUN,
     "The work can't be answered before its deadline.",
-    _LATER,
+    _RECOVERY_RETRY,
 )
 NO_ENGINE = _define(
     3002,
@@ -154,7 +155,7 @@
     503,
     _NOT_RUN,
     "No engine that this organisation may use is available.",
-    _LATER,
+    _RECOVERY_RETRY,
 )
 QUARANTINED = _define(
     3003,
@@ -169,7 +170,7 @@
     503,
     _NOT_RUN,
     "This router is leaving; use another address.",
-    _SOON,
+    _SHORT_RETRY,
 )
 NOT_READY = _define(
     3005,
@@ -177,7 +178,7 @@
     503,
     _NOT_RUN,
     "This router has no current configuration or lease.",
-    _SOON,
+    _SHORT_RETRY,
 )
 
 ENGINE_FAILED = _define(
@@ -186,7 +187,7 @@
     502,
     _UNKNOWN,
     "The target failed after the work was sent.",
-    _LATER,
+    _RECOVERY_RETRY,
 )
 ANSWER_LATE = _define(
     4002,
@@ -194,7 +195,7 @@
     504,
     _UNKNOWN,
     "The deadline passed while the work ran.",
-    _LATER,
+    _RECOVERY_RETRY,
 )
 OUTCOME_UNKNOWN = _define(
     4003,
@@ -209,7 +210,7 @@
     409,
     _RAN,
     "The work with this key is running elsewhere.",
-    _LATER,
+    _RECOVERY_RETRY,
 )
 NOT_RECORDED = _define(
     4005,
@@ -217,7 +218,7 @@
     503,
     _RAN,
     "The work ran but its bill or outcome can't be recorded now.",
-    _LATER,
+    _RECOVERY_RETRY,
 )
 ENGINE_REJECTED = _define(
     4006,
@@ -233,7 +234,7 @@
     503,
     _NOT_RUN,
     "The platform's object API doesn't answer.",
-    2 * _LATER,
+    2 * _RECOVERY_RETRY,
 )
 CONFLICT = _define(
     5002, "conflict", 409, _NOT_RUN, "The object changed since it was read."
@@ -244,7 +245,7 @@
     503,
     _NOT_RUN,
     "The platform answered something that can't be read.",
-    2 * _LATER,
+    2 * _RECOVERY_RETRY,
 )
 FORBIDDEN = _define(
     5004, "forbidden", 403, _NOT_RUN, "The credential doesn't allow this."
@@ -264,17 +265,16 @@
 
 
 class AnvilshiftError(Exception):
-    """Any failure that the project reports, with its numbered code.
+    """Base class of all errors that the project reports, with a numbered code.
 
     Parameters
     ----------
     code
         The numbered code.
     detail
-        What happened, for a person; never a prompt or a credential.
+        Human-readable description; never contains a prompt or a credential.
     retry_after
-        Milliseconds until another try makes sense; the code's own figure where
-        whoever raises it knows no better.
+        Milliseconds until a retry makes sense; the code's default if None.
 
     Examples
     --------
@@ -295,13 +295,21 @@
 
 
 class InvariantError(AnvilshiftError):
-    """The program found its own state impossible."""
+    """An internal invariant doesn't hold, which shows a fault of the program."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(BROKEN_INVARIANT, detail)
 
 
 def check_invariant(held: bool, detail: str) -> None:
-    """Raise `InvariantError` unless the condition held."""
+    """Raise `InvariantError` if an invariant doesn't hold.
+
+    Parameters
+    ----------
+    held
+        Whether the invariant holds.
+    detail
+        Description of the violated invariant.
+    """
     if not held:
         raise InvariantError(detail)
--- a/anvilshift/core/former.py
+++ b/anvilshift/core/former.py
@@ -1,13 +1,14 @@
-"""Remember the targets that were declared before, until no router has them in force.
+"""Keep the previously declared targets until every router has the change in force.
 
-Load pattern: a change of declarations reaches routers one after the other, later
-where a router is slow or cut off.  Meanwhile the homes of a content (see `homes`)
-differ between routers, and a poison would cost the old two and a new one.
+Load pattern: a change of declarations reaches the routers one after the other, and
+late where a router is slow or cut off.  Meanwhile the homes of a content (see `homes`)
+differ between routers, and a poison request would crash the two old homes and a new
+one.
 
-So until every router is known to have a change in force, a content goes only where
-it may go before the change as well as after it.  A router that has not heard of the
-change keeps to the old homes, one that knows that all have heard of it to the new
-ones, and those two never serve at the same time.
+Therefore, until every router is known to have a change in force, a content is sent only
+to targets that are its homes both before and after the change.  A router that hasn't
+received the change uses the old homes; a router that knows that all have received it
+uses the new ones; and two such routers never serve at the same time.
 """
 
 from collections.abc import Collection, Mapping
@@ -17,24 +18,33 @@
 from anvilshift.core.work import Target
 
 MOST_BEHIND: Millis = 60 * SECOND
-"""A router that is cut off has stopped serving by then, as its lease is over.  One
-that can't read some declaration never acknowledges it: waited for without end, it
-would leave no homes to any content in a release."""
+"""Longest time that a change waits for its acknowledgement by all routers.  A router
+that is cut off has stopped serving by then, because its lease has expired.  A router
+that can't parse some declaration never acknowledges it; without this limit, waiting for
+it would leave every content without homes during a release."""
 
-Declared = Mapping[str, Target]
+TargetsByName = Mapping[str, Target]
 
 
 @dataclass(frozen=True)
-class _Former:
-    """Targets that were in force before a revision."""
+class _FormerSet:
+    """The targets that were in force before a revision.
+
+    Attributes
+    ----------
+    superseded_by
+        Revision of the declarations that replaced them.
+    at
+        Instant of the change at this router.
+    """
 
-    superseded: int
+    superseded_by: int
     at: Millis
-    targets: Declared
+    targets: TargetsByName
 
 
 class FormerTargets:
-    """The targets of each change that some router may not have in force.
+    """The former targets of each change that some router may not have in force.
 
     Examples
     --------
@@ -50,33 +60,39 @@
     """
 
     def __init__(self) -> None:
-        self._former: list[_Former] = []
+        self._pending_changes: list[_FormerSet] = []
 
     def supersede(
-        self, old: Declared, new: Declared, revision: int, now: Millis
+        self, old: TargetsByName, new: TargetsByName, revision: int, now: Millis
     ) -> None:
-        """Take in a change of the declared targets.
+        """Record a change of the declared targets or of their failure domains.
 
         Parameters
         ----------
         revision
-            Revision of the declarations that brings the new ones.
+            Revision of the declarations that contains the new targets.
         """
-        if old and _read_domains(old) != _read_domains(new):
-            self._former.append(_Former(revision, now, dict(old)))
+        if old and _map_domains(old) != _map_domains(new):
+            self._pending_changes.append(_FormerSet(revision, now, dict(old)))
 
     def agree(self, revision: int, now: Millis) -> bool:
-        """Take in the revision that all routers have; tell if a change is over."""
-        left = [
-            one
-            for one in self._former
-            if one.superseded > revision and now - one.at <= MOST_BEHIND
+        """Record the revision that all routers have in force.
+
+        Returns
+        -------
+        bool
+            Whether a change was completed, by that revision or by `MOST_BEHIND`.
+        """
+        pending = [
+            change
+            for change in self._pending_changes
+            if change.superseded_by > revision and now - change.at <= MOST_BEHIND
         ]
-        ended = len(left) < len(self._former)
-        self._former = left
-        return ended
+        completed = len(pending) < len(self._pending_changes)
+        self._pending_changes = pending
+        return completed
 
-    def list_domains(self, pool: Declared) -> list[dict[str, str]]:
+    def list_domains(self, pool: TargetsByName) -> list[dict[str, str]]:
         """Return each former set of a pool's targets with their failure domains.
 
         Parameters
@@ -85,14 +101,16 @@
             The pool's targets as they are declared now.
         """
         return [
-            _read_domains(_select_former(one.targets, pool)) for one in self._former
+            _map_domains(_select_former_pool(change.targets, pool))
+            for change in self._pending_changes
         ]
 
 
-def _select_former(old: Declared, pool: Declared) -> Declared:
-    """Return the targets that were in a pool before.
+def _select_former_pool(old: TargetsByName, pool: TargetsByName) -> TargetsByName:
+    """Return the former targets of a pool.
 
-    Those that are gone count where they served what the pool's targets serve.
+    A target that is no longer declared is included if it may have served what the
+    pool's targets serve.
     """
     served: set[str] = set().union(*(target.serves for target in pool.values()))
     return {
@@ -106,5 +124,5 @@
     return not served or not target.serves or not target.serves.isdisjoint(served)
 
 
-def _read_domains(targets: Declared) -> dict[str, str]:
+def _map_domains(targets: TargetsByName) -> dict[str, str]:
     return {name: target.failure_domain for name, target in targets.items()}
--- a/anvilshift/core/homes.py
+++ b/anvilshift/core/homes.py
@@ -1,15 +1,15 @@
-"""Fix the few targets that one content may cost, by the content alone.
+"""Choose the home targets of a content by rendezvous hashing.
 
-Load pattern: copies of a request that crashes its target reach many routers at
-once, before any can tell the others, or while they are cut off from one another.
-Were targets chosen by what a router knows at that instant (room, caches, who is in
-use), each router would lose other ones.
+Load pattern: copies of a request that crashes its target reach many routers at once,
+before any router can inform the others, or while the routers are partitioned.  If each
+router chose targets by its own current state (free capacity, caches, which targets are
+in use), the copies would crash different targets through each router.
 
 Every target gets a score from the content and its own name, and the content's homes
-are the two or three highest.  A target that comes or goes changes the homes of a
-content only where it is one of them.  Each further one is taken from another failure
-domain where one of the next few has another, so that the loss of a domain leaves
-most contents one of their homes.
+are the two or three targets with the highest scores.  Adding or removing a target
+changes the homes of a content only where the target is one of them.  Each further home
+is taken from a failure domain not used so far if one of the next few targets is in such
+a domain, so that the loss of a domain leaves most contents one of their homes.
 
 References
 ----------
@@ -24,12 +24,12 @@
 
 from anvilshift.core.exposure import TARGETS
 
-_NEXT = 3
-"""Targets after a home among which one of another failure domain is looked for:
-with three domains all of these are of the first's once in 27 contents."""
+_DOMAIN_LOOKAHEAD = 3
+"""Next-ranked targets that are searched for one in another failure domain.  With three
+domains, all three are in the first home's domain for one content in 27."""
 _MASK = (1 << 64) - 1
-_ODD = 0x9E3779B97F4A7C15
-_SPREAD = 32
+_MULTIPLIER = 0x9E3779B97F4A7C15
+_SHIFT = 32
 
 
 @functools.lru_cache(maxsize=20_000)
@@ -40,8 +40,8 @@
 
 def _score(content: int, target: int) -> int:
     """Return a target's score for a content; all scores are equally likely."""
-    mixed = ((content ^ target) * _ODD) & _MASK
-    return ((mixed ^ (mixed >> _SPREAD)) * _ODD) & _MASK
+    mixed = ((content ^ target) * _MULTIPLIER) & _MASK
+    return ((mixed ^ (mixed >> _SHIFT)) * _MULTIPLIER) & _MASK
 
 
 def rank_targets(content: str, names: Iterable[str], most: int) -> list[str]:
@@ -62,25 +62,29 @@
 def choose_homes(
     content: str, domains: Mapping[str, str], most: int = TARGETS
 ) -> tuple[str, ...]:
-    """Return the targets of a content, the first first.
+    """Return the home targets of a content, the one with the highest score first.
 
     Parameters
     ----------
     domains
-        Each target's failure domain.
+        Failure domain of each target, by the target's name.
     most
-        Targets that one content may cost.
+        Number of homes: the targets that one content may crash.
 
     Examples
     --------
     >>> len(choose_homes("c1", {"e1": "north", "e2": "north", "e3": "south"}))
     2
     """
-    ranked = rank_targets(content, domains, most + _NEXT - 1)
+    ranked = rank_targets(content, domains, most + _DOMAIN_LOOKAHEAD - 1)
     homes: list[str] = []
     while ranked and len(homes) < most:
-        met = {domains[name] for name in homes}
-        others = [name for name in ranked[:_NEXT] if domains[name] not in met]
+        used_domains = {domains[name] for name in homes}
+        others = [
+            name
+            for name in ranked[:_DOMAIN_LOOKAHEAD]
+            if domains[name] not in used_domains
+        ]
         homes.append((others or ranked)[0])
         ranked.remove(homes[-1])
     return tuple(homes)
--- a/anvilshift/core/identity.py
+++ b/anvilshift/core/identity.py
@@ -1,19 +1,19 @@
-"""Names that no other process or request has."""
+"""Unique names for processes and requests."""
 
 import random
 
-_BITS = 128
+_IDENTITY_BITS = 128
 
 
 def make_identity(rng: random.Random) -> str:
-    """Return a name drawn from a source of random numbers.
+    """Return a random name of 128 bits, in hexadecimal.
 
-    Daemons pass a `random.SystemRandom`; a seeded run passes its own source
-    and replays the same.
+    Daemons pass a `random.SystemRandom`; a reproducible run passes its own seeded
+    generator and gets the same names again.
 
     Examples
     --------
     >>> len(make_identity(random.Random(0)))
     32
     """
-    return f"{rng.getrandbits(_BITS):032x}"
+    return f"{rng.getrandbits(_IDENTITY_BITS):032x}"
--- a/anvilshift/core/labels.py
+++ b/anvilshift/core/labels.py
@@ -5,7 +5,7 @@
 
 References
 ----------
-The semantics follow label selectors as published object APIs have them.
+The semantics are those of label selectors in published object APIs.
 """
 
 from collections.abc import Mapping
@@ -16,7 +16,7 @@
 
 
 class Operator(Enum):
-    """How a requirement compares a label."""
+    """The test that a requirement applies to a label."""
 
     IN = "In"
     NOT_IN = "NotIn"
@@ -46,8 +46,8 @@
             return self.key in labels
         if self.operator is Operator.DOES_NOT_EXIST:
             return self.key not in labels
-        within = self.key in labels and labels[self.key] in self.values
-        return within if self.operator is Operator.IN else not within
+        is_in = self.key in labels and labels[self.key] in self.values
+        return is_in if self.operator is Operator.IN else not is_in
 
     def __str__(self) -> str:
         values = f" ({', '.join(self.values)})" if self.values else ""
--- a/anvilshift/core/membership.py
+++ b/anvilshift/core/membership.py
@@ -1,12 +1,15 @@
-"""Who is in the fleet, who is lost, and who may be removed.
+"""Track fleet membership, detect lost routers and decide on their removal.
 
-A router gives two signs of life: its record in the platform, which it renews,
-and heartbeats to the other routers.  It counts as lost only when both have
-been absent for a lease.  Its grants are sealed then, which is safe without any
-clock.  Its record is removed only when half of the routers that it knew, itself
-counted but not among them, reach the platform: a cut-off majority may go on
-serving (`core.lease`), and would share a router with them, from which it
-learns that it must stop.
+A router shows that it is alive in two ways: it renews its record in the
+platform, and it sends heartbeats to the other routers.  It counts as lost only
+when both have been missing for one lease.  Its grants are then sealed, which is
+safe without any assumption about clocks.
+
+Its record is removed only if routers that reach the platform make up at least
+half of all routers that the lost one knew.  The lost router counts towards the
+total, but not towards the half.  A majority that is cut off from the platform
+may keep serving (see `core.lease`); any such majority then overlaps with that
+half, and learns from the common router that it must stop.
 
 See Also
 --------
@@ -18,26 +21,28 @@
 
 from anvilshift.core.clock import Millis
 
-_SETTLED_LEASES = 2
-"""For so many leases a router's renewals must have succeeded before it counts
-for a removal; within one lease another may still rely on its having failed."""
+_MIN_RENEWING_LEASES = 2
+"""Number of leases for which a router's renewals must have succeeded before the
+router counts towards a removal.  One lease is not enough: until it ends, another
+router may still rely on the information that this router's renewals failed."""
 
 
 @dataclass(frozen=True)
 class Member:
-    """A router as the others know it.
+    """A router's record, as the other routers see it.
 
     Parameters
     ----------
     revision
-        Newest revision of the platform up to which all declarations are in
-        force there.
+        Newest revision of the platform for which the router has all declarations
+        in force.
     beat
-        Number of the renewal, so that two records can be told apart.
+        Sequence number of the renewal; it distinguishes two records.
     since
-        Revision of the platform that it had seen when it joined.
+        Revision of the platform that the router had read when it joined.
     seen
-        Revision of the platform up to which it knows the others' records.
+        Revision of the platform up to which the router has read the records of
+        the other routers.
     """
 
     name: str
@@ -55,17 +60,17 @@
 
 @dataclass(frozen=True)
 class Vitals:
-    """What a router says of itself at a heartbeat.
+    """The status that a router reports in its heartbeats.
 
     Parameters
     ----------
     reaches_platform
-        Whether its own last call of the platform was answered.
+        Whether the platform answered the router's own last call.
     renewing_for
-        Milliseconds for which all its renewals succeeded, by itself or through
-        a peer; 0 when the last one did not.
+        Milliseconds for which all renewals of the router have succeeded, sent
+        directly or through a peer; 0 if the last renewal failed.
     serving
-        Whether it takes new work.
+        Whether the router accepts new work.
     """
 
     reaches_platform: bool = True
@@ -76,14 +81,14 @@
 
 @dataclass(frozen=True)
 class Sighting:
-    """A member and when it last gave a sign of life.
+    """A member and the instants at which it was last known to be alive.
 
     Parameters
     ----------
     seen
-        Instant of its last sign of either kind.
+        Instant of the last renewal or heartbeat, whichever is later.
     heard
-        Instant of its last heartbeat.
+        Instant of the last heartbeat; None if there was none.
     """
 
     member: Member
@@ -94,12 +99,13 @@
 
 @dataclass(frozen=True)
 class Roster:
-    """The fleet as one router sees it, itself excluded.
+    """The other routers of the fleet, as one router sees them.
 
     Parameters
     ----------
     lease
-        Milliseconds without a sign of life after which a member is lost.
+        Milliseconds without a renewal or heartbeat after which a member counts
+        as lost.
 
     Examples
     --------
@@ -113,52 +119,57 @@
     sightings: Mapping[str, Sighting] = field(default_factory=dict)
 
     def record(self, member: Member, now: Millis) -> "Roster":
-        """Return the roster after a member's record changed in the platform."""
+        """Return the roster updated with a member's new platform record."""
         old = self.sightings.get(member.name)
         if old is not None and old.member == member:
             return self
         base = old if old and old.member.incarnation == member.incarnation else None
         if base is not None:
-            # A watch can be behind a heartbeat; what a router knows never shrinks.
+            # The platform's watch may deliver a record older than the last
+            # heartbeat; `seen` never decreases within one incarnation.
             member = replace(member, seen=max(member.seen, base.member.seen))
         sighting = replace(base or Sighting(member, now), member=member, seen=now)
         return replace(self, sightings={**self.sightings, member.name: sighting})
 
     def hear(self, member: Member, vitals: Vitals, now: Millis) -> "Roster":
-        """Return the roster after a heartbeat of a member."""
+        """Return the roster updated with a member's heartbeat."""
         sighting = Sighting(member, now, vitals, heard=now)
         return replace(self, sightings={**self.sightings, member.name: sighting})
 
     def remove(self, name: str) -> "Roster":
         """Return the roster without a member."""
-        left = {k: v for k, v in self.sightings.items() if k != name}
-        return replace(self, sightings=left)
+        remaining = {k: v for k, v in self.sightings.items() if k != name}
+        return replace(self, sightings=remaining)
 
     def lost(self, now: Millis) -> list[Member]:
-        """Return the members that gave no sign of life for a lease."""
+        """Return the members without a renewal or heartbeat for one lease."""
         return [s.member for s in self.sightings.values() if self._is_lost(s, now)]
 
     def present(self, now: Millis) -> list[Sighting]:
-        """Return the members that gave a sign of life within a lease."""
+        """Return the members with a renewal or heartbeat within one lease."""
         return [s for s in self.sightings.values() if not self._is_lost(s, now)]
 
     def _is_lost(self, sighting: Sighting, now: Millis) -> bool:
         return now - sighting.seen > self.lease
 
-    def _list_known(self, seen: int) -> list[Sighting]:
-        """Return the members that a router had to know at a revision."""
+    def _list_joined_by(self, seen: int) -> list[Sighting]:
+        """Return the members that had joined by a revision of the platform.
+
+        A router that has read the records up to that revision knows all of them.
+        """
         return [s for s in self.sightings.values() if s.member.since <= seen]
 
     def is_platform_out(self, seen: int, now: Millis) -> bool:
-        """Tell whether nobody heard renews, and a majority is heard.
+        """Tell whether a majority sends heartbeats and none of it renews.
 
-        Then no router can be removed and no declaration accepted, because a
-        removal needs half of those that the removed one knows.
+        In that case no router can be removed and no declaration accepted, because
+        a removal needs half of the routers that the removed one knows.
 
         Parameters
         ----------
         seen
-            Revision up to which this router knows the others' records.
+            Revision of the platform up to which this router has read the other
+            routers' records.
         """
         heard = [
             sighting
@@ -167,36 +178,38 @@
         ]
         if any(sighting.vitals.renewing_for > 0 for sighting in heard):
             return False
-        # Newcomers don't count: those that could remove this router don't
-        # count them either.
-        known = self._list_known(seen)
-        voices = sum(sighting in heard for sighting in known) + 1
-        return 2 * voices > len(known) + 1
+        # Routers that joined later are left out: the vote on removing this router
+        # leaves them out as well (see `may_remove`).
+        known = self._list_joined_by(seen)
+        reachable = sum(sighting in heard for sighting in known) + 1
+        return 2 * reachable > len(known) + 1
 
     def may_remove(
         self, lost: Member, own: Member, renewing_for: Millis, now: Millis
     ) -> bool:
         """Tell whether a lost member's record may be removed.
 
-        Only routers that the lost one can have known count, so that newcomers
-        can't outvote a majority that was cut off together with it.  Each must
-        have said, after the loss, that it has been renewing for a while.
+        Only routers that the lost one can have known are counted, so that routers
+        that joined later can't outvote a majority that was cut off together with
+        it.  A router counts in favour if it reported after the loss that its
+        renewals have succeeded for `_MIN_RENEWING_LEASES` leases.
         """
         sighting = self.sightings.get(lost.name)
         if sighting is None or not self._is_lost(sighting, now):
             return False
         since = sighting.seen + self.lease
-        settled = _SETTLED_LEASES * self.lease
-        known = self._list_known(lost.seen)
+        min_renewing = _MIN_RENEWING_LEASES * self.lease
+        known = self._list_joined_by(lost.seen)
         voters = [
             s
             for s in known
             if s.heard is not None
             and s.heard >= since
-            and s.vitals.renewing_for >= settled
+            and s.vitals.renewing_for >= min_renewing
         ]
-        own_known = own.since <= lost.seen
-        own_votes = own_known and renewing_for >= settled
-        # A cut-off side that serves on has more than half, the lost one among
-        # them; so half of all, without the lost one, meet it in some router.
-        return 2 * (len(voters) + own_votes) >= len(known) + own_known
+        counts_itself = own.since <= lost.seen
+        own_vote = counts_itself and renewing_for >= min_renewing
+        # A cut-off group that keeps serving contains the lost router and more than
+        # half of all.  At least half of all, not counting the lost router, thus
+        # share at least one router with it.
+        return 2 * (len(voters) + own_vote) >= len(known) + counts_itself
--- a/anvilshift/core/quarantine.py
+++ b/anvilshift/core/quarantine.py
@@ -1,24 +1,24 @@
-"""Keep a request that crashes what runs it from crashing everything.
-
-Load pattern: one request crashes each target that runs it, and its caller
-sends it again under new ids.  Without this, every retry loses another target
-until none is left.
-
-Work is known by a digest of its content.  How many targets it may reach is
-bounded without any blame (see `exposure`); blame decides when it is answered
-without running again.  When a target crashes, everything that ran there becomes
-suspect.  A suspect runs only where no other suspect does, so a second crash
-makes no suspects of its neighbours; after a second crash it is quarantined and
-answered at once.  A whole answer clears it.
-
-A stream that breaks in its midst looks like a crash but is as often the
-network's doing.  After two such breaks the work may run once more, at a target
-that it broke off from already.
-
-A target that crashes again and again under different work is at fault itself:
-work that crashed there may run once more than other work, and only once, or a
-poison among its victims would crash it for ever.  Quarantine also ends when
-nobody has asked for the work for some time, and in any case after a day.
+"""Quarantine requests that crash the targets that run them (poison requests).
+
+Load pattern: one request crashes each target that runs it, and its caller retries it
+under new ids.  Without quarantine, every retry crashes another target until none is
+left.
+
+Work is identified by a digest of its content.  The number of targets that a content
+may reach is bounded independently of blame (see `exposure`); blame decides when the
+work is refused without running again.  When a target crashes, all work that ran there
+becomes suspect.  A suspect runs only on a target without another suspect, so that a
+second crash doesn't make suspects of the work beside it.  After the second crash the
+suspect is quarantined and refused at once.  A complete answer clears it.
+
+A stream that breaks off midway looks like a crash, but the network is as often the
+cause.  After two such breaks the work may run once more, on one of the targets where
+it broke off.
+
+A target that crashes repeatedly under different work is itself at fault.  Work that
+crashed there gets one extra attempt, and only one: otherwise a poison request among
+that work would crash the target for ever.  Quarantine also ends when the work has not
+been requested for some time, and in any case after a day.
 """
 
 from collections import Counter, OrderedDict, deque
@@ -30,41 +30,67 @@
 
 _WINDOW: Millis = 60 * SECOND
 _FAULTY_INCIDENTS = 3
-"""Crashes of one target in a minute with no work in common.  Two can be two
-poisonous requests; a third at the same target is far likelier its own fault."""
-_NEWS_AGE: Millis = 2 * SECOND
-"""News of a crash from another router is at most so old: what it blames fell
-with the work that this router lost there."""
-_LONGEST: Millis = 24 * 3600 * SECOND
-_MOST_RECORDS = 10_000
-_MOST_TOLD = 1_000
-"""The newest records that a newcomer is told: some 50 kB in one heartbeat."""
+"""Crashes of one target within `_WINDOW`, with no work in common, after which the
+target counts as faulty.  Two such crashes can come from two poison requests; with a
+third, a fault of the target is far more likely."""
+_MAX_REPORT_DELAY: Millis = 2 * SECOND
+"""Greatest delay of a crash report from another router.  Work that this router lost at
+the target within that time failed in the same crash."""
+_MAX_QUARANTINE: Millis = 24 * 3600 * SECOND
+"""Longest quarantine, however often the work is requested."""
+_MAX_RECORDS = 10_000
+_MAX_REPORTED = 1_000
+"""Newest records that are sent to a router that joins: about 50 kB in a heartbeat."""
 _CRASH_LIKE = (Failure.CRASHED, Failure.BROKE_OFF)
 
 
 @dataclass
 class _Record:
-    """What one content is blamed for."""
+    """The crashes that one content is blamed for.
+
+    Attributes
+    ----------
+    first_crash
+        Instant of the first crash.
+    last_request
+        Instant of the last request or crash.
+    crashes
+        The crashed targets, one entry per crash.
+    crashed_before_output
+        Whether some crash came before the answer had begun.
+    has_extra_attempt
+        Whether a target that it crashed is faulty, so that it gets an extra attempt.
+    """
 
-    first: Millis
-    asked: Millis
+    first_crash: Millis
+    last_request: Millis
     crashes: list[str] = field(default_factory=list)
-    unbegun: bool = False
-    pardoned: bool = False
+    crashed_before_output: bool = False
+    has_extra_attempt: bool = False
 
 
 @dataclass
 class _Incident:
-    """A crash of one target, as its broken attempts show it one by one."""
+    """A crash of one target, gathered from the attempts that fail one by one.
+
+    Attributes
+    ----------
+    affected
+        Contents whose attempts failed in the crash.
+    blamed
+        Contents that are blamed for the crash.
+    suspect
+        The suspect that ran at the target, if this router sent one there.
+    """
 
     at: Millis
-    fallen: set[str] = field(default_factory=set)
+    affected: set[str] = field(default_factory=set)
     blamed: set[str] = field(default_factory=set)
     suspect: str | None = None
 
 
 class Quarantine:
-    """What is known of work that crashed targets.
+    """Record which work crashed targets, and decide what may still run.
 
     Examples
     --------
@@ -90,47 +116,52 @@
         record = self._records.get(content)
         if record is None:
             return False
-        return not record.pardoned or len(record.crashes) >= TARGETS
+        return not record.has_extra_attempt or len(record.crashes) >= TARGETS
 
     def is_quarantined(self, content: str, now: Millis) -> bool:
-        """Tell whether work is to be answered without running it."""
+        """Tell whether work must be refused without running it."""
         self._exposure.expire(content, now)
         record = self._records.get(content)
         if record is None:
             return False
-        if now - record.asked > FORGET_AFTER or now - record.first > _LONGEST:
+        if (
+            now - record.last_request > FORGET_AFTER
+            or now - record.first_crash > _MAX_QUARANTINE
+        ):
             del self._records[content]
             return False
-        record.asked = now
-        spared = int(not record.unbegun) + int(record.pardoned)
-        return len(record.crashes) >= TARGETS + spared
+        record.last_request = now
+        extra_attempts = int(not record.crashed_before_output) + int(
+            record.has_extra_attempt
+        )
+        return len(record.crashes) >= TARGETS + extra_attempts
 
     def list_confined(self, content: str) -> list[str]:
-        """Return the only targets that may run work; empty for any target."""
+        """Return the only targets that may run the work; empty if any target may."""
         return self._exposure.list_confined(content)
 
     def list_reached(self, content: str) -> list[str]:
-        """Return the targets that work may have cost, or may yet."""
+        """Return the targets charged to work that isn't known to be harmless."""
         return self._exposure.list_reached(content)
 
     def keep(self, content: str, target: str, now: Millis) -> None:
-        """Charge a target to work that some router sends there."""
+        """Charge a target to work that another router may send there."""
         self._exposure.crashed(content, target, now)
 
     def keep_running(self) -> None:
-        """Let a newcomer be told of all that runs here, as of what has crashed."""
+        """Include the work that runs now in the reports to routers that join."""
         self._exposure.keep_running()
 
     def is_harmless(self, content: str) -> bool:
-        """Tell whether work was answered whole and has crashed nothing since."""
+        """Tell whether work had a complete answer and crashed nothing since."""
         return self._exposure.is_harmless(content)
 
     def may_reach(self, content: str, target: str) -> bool:
-        """Tell whether a target is within what work may cost."""
+        """Tell whether the bound on reached targets lets work run at a target."""
         return self._exposure.may_reach(content, target)
 
     def is_free(self, target: str, content: str) -> bool:
-        """Tell whether a suspect may run at a target: no other runs there."""
+        """Tell whether a suspect may run at a target: no other suspect runs there."""
         if not self.may_reach(content, target):
             return False
         return self._suspects.get(target, content) == content
@@ -140,23 +171,23 @@
         self._exposure.charge(content, target, now)
 
     def sent(self, content: str, target: str) -> None:
-        """Take in that a suspect runs at a target."""
+        """Record that a suspect runs at a target."""
         self._suspects[target] = content
 
     def ended(self, content: str, target: str, ran: bool = True) -> None:
-        """Take in that work has left a target without a whole answer.
+        """Record that an attempt ended at a target without a complete answer.
 
         Parameters
         ----------
         ran
-            Whether it may have run there.
+            Whether the work may have run there.
         """
         self._exposure.end(content, target, ran)
         if self._suspects.get(target) == content:
             del self._suspects[target]
 
     def clear(self, content: str) -> None:
-        """Take in that work was answered whole: it is not poisonous."""
+        """Clear work of all blame after a complete answer."""
         self._exposure.clear(content)
         self._records.pop(content, None)
 
@@ -169,12 +200,17 @@
         now: Millis,
         begun: bool = False,
     ) -> Announce | None:
-        """Take in a failed attempt; return what others must hear of a crash.
+        """Record a failed attempt; return the crash report for the other routers.
 
         Parameters
         ----------
         begun
             Whether the answer had begun.
+
+        Returns
+        -------
+        Announce or None
+            None if the failure doesn't look like a crash.
         """
         if failure not in _CRASH_LIKE or not content:
             return None
@@ -190,30 +226,30 @@
         now: Millis,
         begun: bool = False,
     ) -> bool:
-        """Take in that a target crashed while it ran work.
+        """Record that a target crashed while it ran work.
 
         Returns
         -------
         bool
-            Whether the work is blamed for it.
+            Whether the work is blamed for the crash.
         """
         self._exposure.crashed(content, target, now)
         incident = self._find_incident(target, sent, now)
-        incident.fallen.add(content)
+        incident.affected.add(content)
         if incident.suspect is None:
             incident.suspect = self._suspects.get(target)
-        # The suspect is the likely cause; its neighbours' failures come as
-        # separate events and must not make suspects of them as well.  Another
-        # suspect is no neighbour: either of the two may be the cause.
-        beside = incident.suspect not in (None, content)
-        if beside and content not in self._records:
+        # The suspect is the likely cause.  The work beside it fails in separate
+        # events, which must not make that work suspect too.  A second suspect is
+        # blamed nevertheless: either of the two may be the cause.
+        ran_beside_suspect = incident.suspect not in (None, content)
+        if ran_beside_suspect and content not in self._records:
             return False
         if not self._blame(content, target, incident, now):
             return False
-        self._records[content].unbegun |= not begun
-        faulty = self._pardon_victims(target)
-        # What may have cost all that it may cost is told whoever is at fault, or
-        # each router would let it run once more.
+        self._records[content].crashed_before_output |= not begun
+        faulty = self._grant_extra_attempts(target)
+        # Work that has used up its bound of targets is reported even if the target
+        # is at fault; otherwise each router would let the work run once more.
         return not faulty or bool(self.list_confined(content))
 
     def _blame(
@@ -221,7 +257,7 @@
     ) -> bool:
         if content in incident.blamed:
             return False
-        incident.fallen.add(content)
+        incident.affected.add(content)
         incident.blamed.add(content)
         self._add_crash(content, target, now)
         return True
@@ -234,18 +270,19 @@
         age: Millis = 0.0,
         times: int = 1,
     ) -> None:
-        """Take in another router's news of a crash; repeated news is one.
+        """Record another router's crash report; a repeated report counts once.
 
-        Two routers may each have had a suspect at the target.  Which of the
-        two it was nobody can tell then, and both are blamed: were the other
-        router's ignored for the own one, the poison could cost a third target
-        through this router.
+        Two routers may each have had a suspect at the target.  The cause can't be
+        determined then, and both suspects are blamed: if this router blamed only
+        its own, it could send the other, a poison request, to a third target.
 
         Parameters
         ----------
+        age
+            Milliseconds since the crash.
         times
-            Crashes of the target that the content is blamed for, of which this
-            router may know some; 0 if it merely ran there.
+            Crashes of the target that the content is blamed for, including those
+            that this router knows already; 0 if the content only ran there.
         """
         self._exposure.crashed(content, target, now)
         record = self._records.get(content)
@@ -253,32 +290,34 @@
         if known >= times:
             return
         at = now - age
-        incident = self._find_incident(target, at - _NEWS_AGE, at)
-        incident.fallen.add(content)
+        incident = self._find_incident(target, at - _MAX_REPORT_DELAY, at)
+        incident.affected.add(content)
         if known == 0 and content in incident.blamed:
             return
         incident.blamed.add(content)
         for _ in range(times - known):
             self._add_crash(content, target, now)
-        self._records[content].unbegun = True
-        self._pardon_victims(target)
+        self._records[content].crashed_before_output = True
+        self._grant_extra_attempts(target)
 
     def list_crashes(self, now: Millis) -> list[Announce]:
-        """Return each content with the targets that it cost, or may have cost.
+        """Return each content with the targets that it crashed or may have crashed.
 
-        A router that starts anew must learn them from the others, those with
-        one crash included, or the same work would cost more targets there.
+        A router that joins must learn them from the others, including contents
+        with a single crash.  Otherwise the same work could crash further targets
+        through that router.
         """
         blamed = [
             Announce(content, target, times)
-            for content, record in list(self._records.items())[-_MOST_TOLD:]
-            if now - record.asked <= FORGET_AFTER and now - record.first <= _LONGEST
+            for content, record in list(self._records.items())[-_MAX_REPORTED:]
+            if now - record.last_request <= FORGET_AFTER
+            and now - record.first_crash <= _MAX_QUARANTINE
             for target, times in Counter(record.crashes).items()
         ]
-        known = {(news.content, news.target) for news in blamed}
+        known = {(report.content, report.target) for report in blamed}
         reached = [
             Announce(content, target, times=0)
-            for content, target in self._exposure.list_kept(_MOST_TOLD)
+            for content, target in self._exposure.list_kept(_MAX_REPORTED)
             if (content, target) not in known
         ]
         return [*blamed, *reached]
@@ -287,7 +326,8 @@
         incidents = self._incidents.setdefault(target, deque())
         while incidents and now - incidents[0].at > _WINDOW:
             incidents.popleft()
-        # Work that was sent before the crash fell with it, whenever that is heard.
+        # Work that was sent before the last crash failed in that crash, however
+        # late its failure is noticed.
         if not incidents or sent > incidents[-1].at:
             incidents.append(_Incident(now))
         return incidents[-1]
@@ -296,21 +336,27 @@
         incidents = self._incidents[target]
         if len(incidents) < _FAULTY_INCIDENTS:
             return False
-        return not set.intersection(*(incident.fallen for incident in incidents))
+        return not set.intersection(*(incident.affected for incident in incidents))
 
-    def _pardon_victims(self, target: str) -> bool:
-        """Pardon what crashed at a faulty target; False if it isn't faulty."""
+    def _grant_extra_attempts(self, target: str) -> bool:
+        """Grant an extra attempt to work that failed at a faulty target.
+
+        Returns
+        -------
+        bool
+            Whether the target is faulty.
+        """
         if not self._is_faulty(target):
             return False
         for incident in self._incidents[target]:
-            for content in incident.fallen & self._records.keys():
-                self._records[content].pardoned = True
+            for content in incident.affected & self._records.keys():
+                self._records[content].has_extra_attempt = True
         return True
 
     def _add_crash(self, content: str, target: str, now: Millis) -> None:
         record = self._records.setdefault(content, _Record(now, now))
         record.crashes.append(target)
-        record.asked = now
+        record.last_request = now
         self._records.move_to_end(content)
-        if len(self._records) > _MOST_RECORDS:
+        if len(self._records) > _MAX_RECORDS:
             self._records.popitem(last=False)
--- a/anvilshift/core/reach.py
+++ b/anvilshift/core/reach.py
@@ -1,9 +1,10 @@
 """Decide which targets a content may be sent to.
 
-Load pattern: a request crashes each target that runs it, and copies of it come
-through any router at any time.  The fleet's bound of two targets holds if every
-router keeps a content to the same two, whatever it knows; see `homes`.  It ends with
-a whole answer, by which the content is known to do no harm.
+Load pattern: a request crashes each target that runs it, and copies of it arrive
+through any router at any time.  The fleet loses at most two targets to it if every
+router restricts the content to the same two, independently of that router's own state;
+see `homes`.  The restriction ends with the first complete answer, which shows that the
+content is harmless.
 """
 
 from anvilshift.core.clock import SECOND, Millis
@@ -13,12 +14,12 @@
 from anvilshift.core.state import DispatchState
 from anvilshift.core.work import Work
 
-RECENT: Millis = 60 * SECOND
-"""Longer than a crashed target is away and a caller's retries go on."""
+RECENT_OUTAGE: Millis = 60 * SECOND
+"""Longer than a crashed target is out of use and than a caller keeps retrying."""
 
 
 class Reach:
-    """Which targets work may be sent to by this router."""
+    """Determine the targets that this router may send work to."""
 
     def __init__(self, state: DispatchState) -> None:
         self._state = state
@@ -26,14 +27,14 @@
     def list_allowed(
         self, work: Work, pool: Pool, now: Millis
     ) -> tuple[str, ...] | None:
-        """Return the only targets that work may be sent to now.
+        """Return the targets that work may be sent to now.
 
         Returns
         -------
         tuple[str, ...] or None
-            None for any candidate.  Empty while the content is held back for
-            another router, and while its homes change and the old ones have none
-            in common with the new.
+            None if the work may be sent to any candidate.  Empty while the content
+            is held back for another router's relocation, and during a change of the
+            declared targets while the old and new homes have no target in common.
         """
         content = work.content
         if self._state.preparations.is_held(content, now):
@@ -50,7 +51,7 @@
         return (*reached, *(n for n in homes if n not in reached))[:TARGETS]
 
     def list_usable(self, work: Work, pool: Pool, now: Millis) -> list[str] | None:
-        """Return those allowed targets that are in use; None for any candidate."""
+        """Return the allowed targets that are in use; None if any candidate is."""
         names = self.list_allowed(work, pool, now)
         if names is None:
             return None
@@ -63,17 +64,17 @@
         return not self.list_usable(work, pool, now)
 
     def _find_homes(self, content: str, pool: Pool) -> tuple[str, ...]:
-        """Return the targets that are homes by every set that may be in force."""
-        found = pool.homes.get(content)
-        if found is None:
+        """Return the homes under every set of targets that may be in force."""
+        homes = pool.homes.get(content)
+        if homes is None:
             targets = {name: self._state.views[name].target for name in pool.priorities}
             domains = {n: target.failure_domain for n, target in targets.items()}
-            found = choose_homes(content, domains)
+            homes = choose_homes(content, domains)
             for former in self._state.former.list_domains(targets):
-                before = choose_homes(content, former) if former else ()
-                found = tuple(name for name in found if name in before)
-            pool.remember_homes(content, found)
-        return found
+                former_homes = choose_homes(content, former) if former else ()
+                homes = tuple(name for name in homes if name in former_homes)
+            pool.remember_homes(content, homes)
+        return homes
 
     def is_used(self, name: str, pool: Pool) -> bool:
         """Tell whether a target is a candidate and in use."""
@@ -83,13 +84,14 @@
     def _went_down_recently(
         self, names: tuple[str, ...], pool: Pool, now: Millis
     ) -> bool:
-        """Tell whether a content may have taken its first targets down lately.
+        """Tell whether a content may have taken its first targets down recently.
 
-        An only router that has just started doesn't know what another one sent
-        there.  If the content did it, they are down, and no others.
+        A router that runs alone and has just started doesn't know what another
+        router had sent to these targets.  If the content crashed them, these
+        targets are down and no others.
         """
         views = [self._state.views[name] for name in names if name in self._state.views]
-        if any(now - v.out_since > RECENT for v in views):
+        if any(now - v.out_since > RECENT_OUTAGE for v in views):
             return False
         if any(v.is_sound for v in views):
             return False
--- a/anvilshift/core/relocation.py
+++ b/anvilshift/core/relocation.py
@@ -1,12 +1,12 @@
-"""Send work elsewhere whose content has no home in use, once all routers agree.
+"""Relocate work whose content has no home in use, once all routers agree.
 
-Load pattern: several targets are lost at once.  Innocent work whose two homes are
-among them would be refused for as long as they are away, though others have room; sent
-elsewhere by each router as it sees fit, a poison that took the homes down would cost
-a third target.  See `preparations` for how the routers agree.
+Load pattern: several targets are lost at once.  Without relocation, harmless work whose
+two homes are among them would be refused until these are back, although other targets
+have room.  If each router relocated work on its own, a poison request that crashed its
+homes would crash a third target.  See `preparations` for how the routers agree.
 
-What a router that ended without a farewell sent there is known to nobody.  So a
-content also stays where it is if one was lost since its homes went out of use.
+Nobody knows what a crashed router had sent to the homes.  A content is therefore not
+relocated if a router was lost since the content's homes went out of use.
 """
 
 import math
@@ -16,22 +16,22 @@
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.pools import Pool, TargetView
 from anvilshift.core.queue import Entry
-from anvilshift.core.reach import RECENT, Reach
+from anvilshift.core.reach import RECENT_OUTAGE, Reach
 from anvilshift.core.state import DispatchState
 from anvilshift.core.work import Actions, Ask, Work
 
-_NOTICED_WITHIN: Millis = 5 * SECOND
-"""A target that went down is found out of use by then."""
+_DETECTION_WINDOW: Millis = 5 * SECOND
+"""Longest time from a target's outage to its detection."""
 _TICKET_BITS = 64
 
 
 class Relocation:
-    """The work of this router that goes to neither of its homes.
+    """Relocate this router's work, and answer the other routers' questions about it.
 
     Parameters
     ----------
     enter
-        Lets work in.
+        Admits work to the dispatcher's queues.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self._enter = enter
 
     def begin(self, entry: Entry, pool: Pool, now: Millis) -> Actions:
-        """Ask where work may go that has no home in use, or refuse it."""
+        """Ask the other routers to agree to a new target for work, or refuse it."""
         content = entry.work.content
         target = self._find_target(entry.work, pool, now)
         ticket = f"{self._state.rng.getrandbits(_TICKET_BITS):x}"
@@ -57,7 +57,7 @@
         return [Ask(content, target, ticket)]
 
     def move_stuck(self, view: TargetView, now: Millis) -> Actions:
-        """Find another place for what waits for a target just gone, and no other."""
+        """Relocate work that waits for a lost target and may use no other."""
         waiting = [
             (entry, pool)
             for pool in view.pools
@@ -74,38 +74,50 @@
         return actions
 
     def _find_target(self, work: Work, pool: Pool, now: Millis) -> str | None:
-        """Return where work could go; None if it must not go anywhere."""
+        """Return the target to propose for work; None if it must not be relocated."""
         state = self._state
         if not state.settings.asks or state.is_alone or state.partitioned:
             return None
         if state.quarantine.list_reached(work.content):
             return None
         homes = self._reach.list_allowed(work, pool, now) or ()
-        if not all(self._is_known_since(name, now) for name in homes):
+        if not all(self._is_unaffected_by_lost_router(name, now) for name in homes):
             return None
         ranked = pool.order(work.content)
-        found = (name for name in ranked if self._reach.is_used(name, pool))
-        return next(found, None)
+        usable = (name for name in ranked if self._reach.is_used(name, pool))
+        return next(usable, None)
 
-    def _is_known_since(self, home: str, now: Millis) -> bool:
-        """Tell whether no router was lost that may have taken a home down."""
+    def _is_unaffected_by_lost_router(self, home: str, now: Millis) -> bool:
+        """Tell whether no lost router can have sent the work that took a home down."""
         view, lost = self._state.views.get(home), self._state.router_lost
         if view is None:
             return False
         if view.out_since == -math.inf:
-            # It never was in use here: a router lost before this one began counts.
+            # The home was never in use here, so a router that was lost before this
+            # one started counts too.
             lost = max(lost, self._state.began)
-        return now - lost > RECENT or lost < view.out_since - _NOTICED_WITHIN
+        return now - lost > RECENT_OUTAGE or lost < view.out_since - _DETECTION_WINDOW
 
     def prepare(self, ask: Ask, now: Millis) -> bool:
-        """Hold a content back for another router; False if it may not go there."""
+        """Hold a content back for another router's relocation.
+
+        Returns
+        -------
+        bool
+            False if the content may have reached another target, if it is held back
+            for another relocation, or if too many contents are held back.
+        """
         reached = self._state.quarantine.list_reached(ask.content)
         if any(name != ask.target for name in reached):
             return False
         return self._state.preparations.hold(ask.content, ask.ticket, now)
 
     def settle(self, ask: Ask, agreed: bool, now: Millis) -> Actions:
-        """Take in the end of a question of this router's or of another's."""
+        """Apply the outcome of a relocation that this or another router proposed.
+
+        Waiting work of the content is queued anew, or refused if it still has no
+        target.
+        """
         self._state.preparations.release(ask.content, ask.ticket)
         if agreed:
             self._state.quarantine.keep(ask.content, ask.target, now)
--- a/anvilshift/core/state.py
+++ b/anvilshift/core/state.py
@@ -1,4 +1,4 @@
-"""What the parts of the dispatcher share."""
+"""State that is shared by the components of the dispatcher."""
 
 import random
 from dataclasses import dataclass, field
@@ -19,21 +19,23 @@
 from anvilshift.core.work import DispatchSettings, Refuse, Work
 
 NO_TARGET_RETRY: Millis = 1 * SECOND
-"""A target that restarts or is replaced takes a second at least."""
-_LONGEST_RECORDING: Millis = 1 * SECOND
-"""Bills slower than this come of an outage, in which they aren't waited for."""
+"""Retry delay for callers while no target is in use.  A target that restarts or is
+replaced needs at least a second."""
+_MAX_RECORDING: Millis = 1 * SECOND
+"""Most time that is reserved for recording a bill.  Recording takes longer only during
+an outage, in which answers don't wait for their bills."""
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """Work that a target has now.
+    """One attempt to run work at a target, while it is under way.
 
     Parameters
     ----------
     warm
-        Whether the target was believed to hold the prompt's prefix.
+        Whether the target was expected to have the prompt's prefix in its cache.
     first
-        When its first token came.
+        Instant of the first token; None before it arrives.
     """
 
     entry: Entry
@@ -45,30 +47,34 @@
 
     @property
     def counts(self) -> bool:
-        """Tell whether it says something of its target as it is now."""
+        """Tell whether the attempt counts for its target's health.
+
+        It doesn't if it was sent before the last probe of the target began.
+        """
         return self.sent >= self.view.health.since
 
 
 @dataclass(eq=False)
 class DispatchState:
-    """The targets and what is known of them.
+    """The targets, their recorded state, and what is known of other routers.
 
     Parameters
     ----------
     former
-        Targets of changes that some router may not have in force yet.
+        Former targets of changes that some router may not have in force yet.
     recording
-        How long the ends of answers waited for their bills.
+        Mean time for which completed answers waited for their bills to be recorded.
     routers
-        Routers that share the targets, as far as this one knows.
+        Number of routers known to share the targets, including this one.
     partitioned
-        Whether some other router can't be heard.
+        Whether heartbeats of some other router are missing.
     has_others
-        Whether any other router is known, be it that it doesn't serve yet.
+        Whether any other router is known, including one that doesn't serve yet.
     began
-        When the first targets were declared here.
+        Instant at which targets were first declared to this router.
     router_lost
-        When a router was last missed that had not said that it leaves.
+        Instant at which a router was last found lost without having announced that
+        it leaves.
     """
 
     settings: DispatchSettings
@@ -96,21 +102,27 @@
         return self.routers == 1 and not (self.partitioned or self.has_others)
 
     def refresh(self, view: TargetView, draw: bool = False) -> None:
-        """Bring the pools up to date after a change of a target."""
+        """Update the pools after a change of a target.
+
+        Parameters
+        ----------
+        draw
+            Whether to round the target's limit to a whole number anew, at random.
+        """
         if draw:
             view.whole = view.limit.draw_whole(self.rng)
         view.refresh()
 
     def due(self, work: Work) -> Millis:
-        """Return when an answer must be whole for its bill to be in time.
+        """Return the instant by which an answer must be complete.
 
-        A bill that takes longer than the little time left turns an answer that
-        was made in time into one that comes too late.
+        It leaves time before the deadline to record the bill; otherwise an answer
+        that was complete in time could reach its caller too late.
         """
-        return work.deadline - min(_LONGEST_RECORDING, self.recording.high())
+        return work.deadline - min(_MAX_RECORDING, self.recording.high())
 
     def has_no_hope(self, entry: Entry, pool: Pool, now: Millis) -> bool:
-        """Tell whether work sent now would end too late."""
+        """Tell whether work sent now is expected to miss its deadline."""
         durations = pool.kind.durations
         if not durations.is_fresh(now):
             return False
@@ -118,10 +130,16 @@
         return is_hopeless(self.due(entry.work), now, 0.0, service)
 
     def refuse_quarantined(self, work: Work) -> Refuse:
-        """Return the refusal of work that crashes what runs it."""
+        """Return the refusal of work that is quarantined for crashing targets."""
         return Refuse(work.identity, QUARANTINED, "", FORGET_AFTER)
 
     def refuse(self, entry: Entry, code: Code, detail: str, excess: Millis) -> Refuse:
-        """Return a refusal that says when to come back."""
+        """Return a refusal with a randomised retry delay.
+
+        Parameters
+        ----------
+        excess
+            Milliseconds by which the wait must shorten for the work to be accepted.
+        """
         retry = draw_retry(excess, self.rng)
         return Refuse(entry.work.identity, code, detail, retry)
--- a/anvilshift/core/upkeep.py
+++ b/anvilshift/core/upkeep.py
@@ -1,4 +1,4 @@
-"""Watch targets by the work that they have: eject, probe, move work away."""
+"""Monitor targets by the work that they run: eject, probe, and move work away."""
 
 from anvilshift.core.backlog import Backlog
 from anvilshift.core.clock import Millis
@@ -10,14 +10,15 @@
 from anvilshift.core.state import Attempt, DispatchState
 from anvilshift.core.work import Actions, Cancel, Failure
 
-_OVERDUE = 4.0
-_OVERDUE_LEAST: Millis = 250.0
-"""A first token that takes so many times the expected span, and so long beyond
-it, counts against its target before it comes: a hung target sends none."""
+_OVERDUE_FACTOR = 4.0
+_OVERDUE_MARGIN: Millis = 250.0
+"""A first token is overdue after `_OVERDUE_FACTOR` times its expected latency plus
+`_OVERDUE_MARGIN`.  It then counts as slow before it arrives, because a hung target
+never sends one."""
 
 
 class Upkeep:
-    """Keep slow and failing targets out of use."""
+    """Eject slow and failing targets, probe them, and move work off hung ones."""
 
     def __init__(
         self,
@@ -32,62 +33,71 @@
         self._sender = sender
         self._reach = reach
         self._relocation = relocation
-        sender.on_sent = self._watch
+        sender.on_sent = self._schedule_overdue_check
 
-    def _watch(self, attempt: Attempt, now: Millis) -> None:
+    def _schedule_overdue_check(self, attempt: Attempt, now: Millis) -> None:
         expected = attempt.pool.kind.durations.first(attempt.entry.work.request_class)
-        due = now + _OVERDUE * expected + _OVERDUE_LEAST
+        due = now + _OVERDUE_FACTOR * expected + _OVERDUE_MARGIN
         self._state.timers.at(due, lambda at: self._check_overdue(attempt, at))
 
     def compare(self, attempt: Attempt, span: Millis) -> None:
-        """Compare the span to a first token with what is expected of it."""
+        """Add the latency of a first token to the health of its target.
+
+        Parameters
+        ----------
+        span
+            Milliseconds from sending to the first token, or to now if it is overdue.
+        """
         durations = attempt.pool.kind.durations
         request_class = attempt.entry.work.request_class
         if attempt.counts and durations.knows(request_class):
             attempt.view.add_span(span, durations.first(request_class))
 
     def _check_overdue(self, attempt: Attempt, now: Millis) -> Actions:
-        """Count a first token that is long overdue against its target."""
+        """Count an overdue first token against its target, and move the work."""
         running = self._sender.running.get(attempt.entry.work.identity)
         if running is not attempt or attempt.first is not None:
             return []
         self.compare(attempt, now - attempt.sent)
         actions = self.check_health(attempt.view, now)
-        moved = self._move(attempt, now)
+        moved = self._move_to_other_target(attempt, now)
         if not moved:
-            again = now + _OVERDUE_LEAST
+            again = now + _OVERDUE_MARGIN
             self._state.timers.at(again, lambda at: self._check_overdue(attempt, at))
         return [*actions, *moved]
 
-    def _move(self, attempt: Attempt, now: Millis) -> Actions:
-        """Send work elsewhere that its target has not begun to answer.
+    def _move_to_other_target(self, attempt: Attempt, now: Millis) -> Actions:
+        """Cancel work that its target hasn't begun to answer, and send it elsewhere.
 
-        A hung or very slow target would keep it until its deadline; what shows
-        is a caller that waits for nothing while other targets have room.  Work
-        that may not run twice stays where it is.
+        A hung or very slow target would keep the work until its deadline, and the
+        caller would wait although other targets have room.  Work that may not run
+        twice stays where it is.
         """
         entry, work = attempt.entry, attempt.entry.work
         pool = self._state.pools.find(work.candidates)
-        # Plain services make no tokens; their calls can't be stopped.
+        # Plain services return no tokens, and calls to them can't be cancelled.
         if pool is None or not (work.idempotent and work.answer_tokens):
             return []
         allowed = self._reach.list_allowed(work, pool, now)
         names = pool.open.draw(self._state.rng, 2) if allowed is None else allowed
-        others = any(name in pool.open and name not in entry.tried for name in names)
-        left = entry.attempts < self._state.settings.attempts
-        if not (others and left) or self._state.has_no_hope(entry, pool, now):
+        has_other = any(name in pool.open and name not in entry.tried for name in names)
+        may_retry = entry.attempts < self._state.settings.attempts
+        if not (has_other and may_retry) or self._state.has_no_hope(entry, pool, now):
             return []
         if not self._state.retries.take(Failure.TIMED_OUT):
             return []
         name = attempt.view.target.name
         self._sender.stop(work.identity, now)
         self._state.refresh(attempt.view)
-        stopped = Cancel(work.identity, name, entry.attempts)
+        cancel = Cancel(work.identity, name, entry.attempts)
         waiting = self._backlog.wait(entry, pool, now)
-        return [stopped, *waiting, *self._sender.offer(entry, pool, now)]
+        return [cancel, *waiting, *self._sender.offer(entry, pool, now)]
 
     def check_health(self, view: TargetView, now: Millis) -> Actions:
-        """Eject a target that has turned bad, if enough others are left."""
+        """Eject a slow or failing target if enough others of its kind are in use.
+
+        A target that fails while it is being probed is ejected in any case.
+        """
         health = view.health
         if health.state is State.EJECTED or not view.is_bad():
             return []
@@ -98,11 +108,11 @@
         view.note_outage(now)
         health.eject(now, self._state.rng)
         self._state.refresh(view)
-        self._state.timers.at(health.until, lambda at: self._probe(view, at))
+        self._state.timers.at(health.until, lambda at: self._start_probe(view, at))
         return self._relocation.move_stuck(view, now)
 
-    def _probe(self, view: TargetView, now: Millis) -> Actions:
-        """Let an ejected target have a request again."""
+    def _start_probe(self, view: TargetView, now: Millis) -> Actions:
+        """Start probing an ejected target with a single request."""
         if self._state.views.get(view.target.name) is not view:
             return []
         view.probe(now)
