--- a/anvilshift/core/blame.py
+++ b/anvilshift/core/blame.py
@@ -50,14 +50,14 @@
 
     Examples
     --------
-    >>> book = BlameBook()
+    >>> blame_book = BlameBook()
     >>> for name in ("e1", "e2", "e3"):
-    ...     _ = book.broke("poison", name, now=0.0)
-    ...     book.lost(name, now=100.0)
+    ...     _ = blame_book.broke("poison", name, now=0.0)
+    ...     blame_book.lost(name, now=100.0)
     ['poison']
     ['poison']
     ['poison']
-    >>> book.is_poison("poison", now=200.0)
+    >>> blame_book.is_poison("poison", now=200.0)
     True
     """
 
--- a/anvilshift/core/quarantine.py
+++ b/anvilshift/core/quarantine.py
@@ -94,14 +94,14 @@
 
     Examples
     --------
-    >>> book = Quarantine()
-    >>> book.crashed("poison", "e1", sent=0.0, now=10.0)
+    >>> quarantine = Quarantine()
+    >>> quarantine.crashed("poison", "e1", sent=0.0, now=10.0)
     True
-    >>> book.is_suspect("poison"), book.is_quarantined("poison", now=11.0)
+    >>> quarantine.is_suspect("poison"), quarantine.is_quarantined("poison", now=11.0)
     (True, False)
-    >>> book.crashed("poison", "e2", sent=11.0, now=20.0)
+    >>> quarantine.crashed("poison", "e2", sent=11.0, now=20.0)
     True
-    >>> book.is_quarantined("poison", now=21.0)
+    >>> quarantine.is_quarantined("poison", now=21.0)
     True
     """
 
--- a/tests/core/test_blame.py
+++ b/tests/core/test_blame.py
@@ -1,3 +1,5 @@
+"""Blame for crashes and the refusal of poison requests."""
+
 import unittest
 
 from anvilshift.core.blame import BlameBook
@@ -5,62 +7,63 @@
 
 class BlameBookTest(unittest.TestCase):
     def setUp(self):
-        self.book = BlameBook()
+        self.blame_book = BlameBook()
 
     def crash(self, content: str, target: str, now: float) -> None:
-        self.book.broke(content, target, now)
-        self.book.lost(target, now + 50.0)
+        self.blame_book.broke(content, target, now)
+        self.blame_book.lost(target, now + 50.0)
 
     def test_two_crashes_are_not_enough(self):
-        """An innocent request runs beside a poisonous one, twice."""
+        """Guards against refusing a harmless request that ran beside a poison twice."""
         self.crash("innocent", "e1", 0.0)
         self.crash("innocent", "e2", 500.0)
-        self.assertFalse(self.book.is_poison("innocent", 600.0))
+        self.assertFalse(self.blame_book.is_poison("innocent", 600.0))
 
-    def test_one_target_that_crashes_by_itself_blames_nobody_for_good(self):
+    def test_repeated_crashes_of_one_target_do_not_make_content_poison(self):
+        """Guards against blaming content for a target that crashes on its own."""
         for n in range(5):
             self.crash("content", "e1", n * 1_000.0)
-        self.assertFalse(self.book.is_poison("content", 6_000.0))
+        self.assertFalse(self.blame_book.is_poison("content", 6_000.0))
 
-    def test_first_crash_is_looked_for_when_the_content_breaks_off_again(self):
-        """Guards against a first lost target that counts for nothing."""
-        self.assertEqual(self.book.broke("poison", "e1", 0.0), [])
-        self.assertEqual(self.book.broke("poison", "e2", 100.0), ["e1", "e2"])
-        self.assertEqual(self.book.broke("poison", "e3", 9_000.0), [])
+    def test_first_target_is_checked_when_the_content_breaks_off_again(self):
+        """Guards against a first crash that is never counted."""
+        self.assertEqual(self.blame_book.broke("poison", "e1", 0.0), [])
+        self.assertEqual(self.blame_book.broke("poison", "e2", 100.0), ["e1", "e2"])
+        self.assertEqual(self.blame_book.broke("poison", "e3", 9_000.0), [])
 
-    def test_content_reaches_three_targets_whatever_is_known_of_crashes(self):
-        """Guards against a further target lost while nobody knows of a crash."""
+    def test_content_reaches_at_most_three_targets_without_known_crashes(self):
+        """Guards against losing a fourth target before any crash is detected."""
         for target in ("e1", "e2", "e3"):
-            self.assertTrue(self.book.exposure.may_reach("content", target))
-            self.book.exposure.charge("content", target, 0.0)
-            self.book.exposure.end("content", target, ran=True)
-        self.assertFalse(self.book.exposure.may_reach("content", "e4"))
-        self.book.clear("content")
-        self.assertTrue(self.book.exposure.may_reach("content", "e4"))
+            self.assertTrue(self.blame_book.exposure.may_reach("content", target))
+            self.blame_book.exposure.charge("content", target, 0.0)
+            self.blame_book.exposure.end("content", target, ran=True)
+        self.assertFalse(self.blame_book.exposure.may_reach("content", "e4"))
+        self.blame_book.clear("content")
+        self.assertTrue(self.blame_book.exposure.may_reach("content", "e4"))
 
-    def test_broken_answers_without_a_crash_prove_nothing(self):
+    def test_broken_answers_without_a_crash_do_not_make_content_poison(self):
         for target in ("e1", "e2", "e3", "e4"):
-            self.book.broke("content", target, 0.0)
-        self.assertFalse(self.book.is_poison("content", 10.0))
+            self.blame_book.broke("content", target, 0.0)
+        self.assertFalse(self.blame_book.is_poison("content", 10.0))
 
-    def test_a_target_lost_much_later_is_not_blamed_on_it(self):
-        self.book.broke("content", "e1", 0.0)
-        self.assertEqual(self.book.lost("e1", 5_000.0), [])
+    def test_content_is_not_blamed_for_a_target_lost_much_later(self):
+        self.blame_book.broke("content", "e1", 0.0)
+        self.assertEqual(self.blame_book.lost("e1", 5_000.0), [])
 
-    def test_news_of_other_routers_counts(self):
+    def test_crash_reports_of_other_routers_count_once_per_target(self):
         self.crash("poison", "e1", 0.0)
-        self.book.hear("poison", "e2", 10.0)
-        self.book.hear("poison", "e2", 11.0)
-        self.assertFalse(self.book.is_poison("poison", 12.0))
-        self.book.hear("poison", "e3", 13.0)
-        self.assertTrue(self.book.is_poison("poison", 14.0))
+        self.blame_book.hear("poison", "e2", 10.0)
+        self.blame_book.hear("poison", "e2", 11.0)
+        self.assertFalse(self.blame_book.is_poison("poison", 12.0))
+        self.blame_book.hear("poison", "e3", 13.0)
+        self.assertTrue(self.blame_book.is_poison("poison", 14.0))
 
-    def test_a_whole_answer_clears_and_time_forgets(self):
+    def test_blame_ends_with_a_complete_answer_or_after_some_time(self):
         for n, target in enumerate(("e1", "e2", "e3")):
             self.crash("content", target, n * 100.0)
-        self.assertTrue(self.book.is_poison("content", 1_000.0))
-        self.assertFalse(self.book.is_poison("content", 200_000.0))
+        self.assertTrue(self.blame_book.is_poison("content", 1_000.0))
+        self.assertFalse(self.blame_book.is_poison("content", 200_000.0))
         for n, target in enumerate(("e1", "e2", "e3")):
             self.crash("other", target, n * 100.0)
-        self.book.clear("other")
-        self.assertFalse(self.book.is_poison("other", 400.0))
+        self.blame_book.clear("other")
+        self.assertFalse(self.blame_book.is_poison("other", 400.0))
--- a/tests/core/test_entrances.py
+++ b/tests/core/test_entrances.py
@@ -1,3 +1,5 @@
+"""The router addresses that a caller receives."""
+
 import unittest
 
 from anvilshift.core.entrances import Entrance, choose_entrances
@@ -9,16 +11,16 @@
 
 
 class EntrancesTest(unittest.TestCase):
-    def test_callers_stay_in_their_domain_where_it_has_routers_enough(self):
-        found = choose_entrances(make_routers(4, 6), "north")
-        self.assertEqual(found, tuple(f"10.0.0.{n}:80" for n in range(4)))
+    def test_callers_receive_only_local_routers_if_there_are_enough(self):
+        chosen = choose_entrances(make_routers(4, 6), "north")
+        self.assertEqual(chosen, tuple(f"10.0.0.{n}:80" for n in range(4)))
 
-    def test_few_routers_are_not_left_alone_with_a_domain(self):
-        """The only router of a domain is killed.
+    def test_callers_receive_all_routers_if_few_are_local(self):
+        """Guards against failing calls after the only router of a domain is killed.
 
-        Callers that knew no other address would fail until they asked again.
+        Callers that know no other address fail until they request a new list.
         """
         self.assertEqual(len(choose_entrances(make_routers(1, 3), "north")), 4)
 
-    def test_a_caller_of_an_unknown_domain_is_told_of_all(self):
+    def test_callers_in_an_unknown_domain_receive_all_routers(self):
         self.assertEqual(len(choose_entrances(make_routers(5, 5), "")), 10)
--- a/tests/core/test_former.py
+++ b/tests/core/test_former.py
@@ -1,4 +1,4 @@
-"""Targets that some router may not have in force yet."""
+"""Homes of contents during a change of the declared targets."""
 
 import random
 import unittest
@@ -27,7 +27,7 @@
 
 
 class FormerTargetsTest(unittest.TestCase):
-    def test_removed_target_counts_only_for_what_it_may_have_served(self):
+    def test_removed_target_is_former_only_in_pools_that_it_may_have_served(self):
         former = FormerTargets()
         old = {
             "e1": Target("e1", "north", serves=frozenset({"small"})),
@@ -38,7 +38,7 @@
         former.supersede(old, new, revision=5, now=0.0)
         self.assertEqual(former.list_domains(new), [{"e1": "north", "e3": "east"}])
 
-    def test_change_is_over_once_all_routers_have_it(self):
+    def test_change_completes_once_all_routers_have_it_in_force(self):
         former = FormerTargets()
         first, second = {"e1": Target("e1", "north")}, {"e2": Target("e2", "north")}
         former.supersede(first, second, revision=5, now=0.0)
@@ -49,8 +49,8 @@
         self.assertTrue(former.agree(8, 1.0))
         self.assertEqual(former.list_domains(first), [])
 
-    def test_change_is_over_although_one_router_never_has_it(self):
-        """Guards against no engine left for any content in a release."""
+    def test_change_completes_after_a_time_limit_without_one_router(self):
+        """Guards against contents without any engine during a release."""
         former = FormerTargets()
         old, new = {"e1": Target("e1", "north")}, {"e2": Target("e2", "north")}
         former.supersede(old, new, revision=5, now=0.0)
@@ -64,12 +64,12 @@
         settings = DispatchSettings(routers=2)
         self.dispatcher = Dispatcher(settings, random.Random(1))
         self.dispatcher.configure(make_targets(OLD), 0.0, revision=1)
-        changed = next(
+        content_with_new_homes = next(
             f"c{n}"
             for n in range(100)
             if find_homes(f"c{n}", OLD) != find_homes(f"c{n}", NEW)
         )
-        self.content = changed
+        self.content = content_with_new_homes
         self.count = 0
 
     def send(self, names):
@@ -78,11 +78,11 @@
         return self.dispatcher.arrive(work, 0.0)
 
     def list_used(self, names):
-        found = [self.send(names) for _ in range(6)]
-        return {a.target for actions in found for a in actions if isinstance(a, Send)}
+        sent = [self.send(names) for _ in range(6)]
+        return {a.target for actions in sent for a in actions if isinstance(a, Send)}
 
-    def test_content_keeps_to_what_it_had_before_until_all_have_a_new_engine(self):
-        """Guards against a third engine while a declaration is on its way."""
+    def test_content_uses_only_common_homes_until_all_routers_have_a_change(self):
+        """Guards against losing a third engine while a declaration spreads."""
         common = find_homes(self.content, OLD) & find_homes(self.content, NEW)
         self.dispatcher.configure(make_targets(NEW), 0.0, revision=2)
         self.assertEqual(self.list_used(NEW), common)
@@ -92,8 +92,8 @@
         self.assertLessEqual(self.list_used(NEW), find_homes(self.content, NEW))
         self.assertIn("e6", self.list_used(NEW) | find_homes(self.content, NEW))
 
-    def test_work_that_waits_through_a_change_goes_by_the_new_engines(self):
-        """Guards against work that is sent by declarations that are over."""
+    def test_work_queued_during_a_change_is_sent_to_the_new_engines(self):
+        """Guards against queued work that is sent by outdated declarations."""
         for n in range(100):
             self.dispatcher.arrive(make_work(f"w{n}", f"other{n}", OLD), 0.0)
         self.assertEqual(self.send(OLD), [])
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -1,4 +1,4 @@
-"""Who may be removed, and who may serve on, in partitions and outages."""
+"""Removal of lost routers, and serving during partitions and outages."""
 
 import unittest
 
@@ -21,7 +21,7 @@
 
 
 def make_roster(**heard):
-    """Return a roster of members and when and how each was heard last."""
+    """Return a roster from the vitals and instant of each member's last heartbeat."""
     roster = Roster(LEASE)
     for name, (vitals, at) in heard.items():
         roster = roster.hear(make_member(name), vitals, at)
@@ -35,40 +35,42 @@
         self.lease.succeed(10.0)
 
     def serve_until(self, roster_at, end):
-        """Check at each heartbeat, as a router does; return the last verdict."""
-        verdict = True
+        """Check at each heartbeat, as a router does; return the last result."""
+        may_serve = True
         for step in range(0, int(end) + 1, 500):
-            verdict = self.lease.may_serve(roster_at(float(step)), SEEN, float(step))
-        return verdict
+            may_serve = self.lease.may_serve(roster_at(float(step)), SEEN, float(step))
+        return may_serve
 
-    def test_isolated_router_stops_when_its_lease_lapses(self):
+    def test_isolated_router_stops_when_its_lease_expires(self):
         roster = make_roster(r2=(SETTLED, 0.0), r3=(SETTLED, 0.0))
         self.assertTrue(self.serve_until(lambda now: roster, 4_000))
         self.assertFalse(self.lease.may_serve(roster, SEEN, 4_500.0))
 
-    def test_whole_fleet_serves_on_through_an_outage(self):
+    def test_whole_fleet_keeps_serving_during_a_platform_outage(self):
         def all_out(now):
             return make_roster(r2=(OUT, now), r3=(OUT, now))
 
         self.assertTrue(self.serve_until(all_out, 60_000))
 
-    def test_minority_stops_in_an_outage_with_a_partition(self):
+    def test_minority_stops_during_a_platform_outage_and_a_partition(self):
         def one_of_five(now):
             silent = (OUT, 0.0)
             return make_roster(r2=(OUT, now), r3=silent, r4=silent, r5=silent)
 
         self.assertFalse(self.serve_until(one_of_five, 9_000))
 
-    def test_router_that_hears_one_renewing_stops(self):
+    def test_router_stops_if_it_hears_that_another_renews(self):
         def one_renews(now):
             return make_roster(r2=(OUT, now), r3=(Vitals(renewing_for=1.0), now))
 
         self.assertFalse(self.serve_until(one_renews, 4_500))
 
     def test_stopped_router_stays_stopped_when_an_outage_begins(self):
-        """A router is cut off from the platform and removed; a declaration is
-        accepted without it.  Then the platform goes out for all.  Hearing that
-        nobody renews, it would serve again under what it held before.
+        """Guards against serving again under outdated declarations.
+
+        A router is cut off from the platform and removed, and a declaration is
+        accepted without it.  Then the platform fails for all routers, and the
+        removed router hears that no router renews.
         """
 
         def renews_until_six(now):
@@ -82,11 +84,12 @@
             self.lease.may_serve(renews_until_six(60_510.0), SEEN, 60_510.0)
         )
 
-    def test_paused_router_does_not_believe_heartbeats_that_waited(self):
-        """A router is paused in an outage, which ends during the pause.
+    def test_resumed_router_does_not_rely_on_buffered_heartbeats(self):
+        """Guards against serving by heartbeats that arrived during a pause.
 
-        Heartbeats from before its end lie in its sockets; read at waking they
-        seem new and say that the platform is out.
+        A router is paused during a platform outage, which ends before the router
+        resumes.  Heartbeats from the outage are still in its socket buffers; when
+        it reads them, they seem recent and report the platform as unreachable.
         """
 
         def all_out(now):
@@ -95,7 +98,7 @@
         self.assertTrue(self.serve_until(all_out, 6_000))
         self.assertFalse(self.lease.may_serve(all_out(30_000.0), SEEN, 30_000.0))
 
-    def test_slow_renewal_counts_as_failed_for_others(self):
+    def test_slow_renewal_is_reported_to_others_as_failed(self):
         self.lease.begin(1_000.0)
         self.assertGreater(self.lease.renewing_for(1_400.0), 0.0)
         self.assertEqual(self.lease.renewing_for(1_600.0), 0.0)
@@ -110,12 +113,12 @@
         lost = make_member("r9")
         return roster.may_remove(lost, self.own, renewing_for, now)
 
-    def test_routers_that_renew_remove(self):
+    def test_routers_that_renew_may_remove_a_lost_one(self):
         roster = make_roster(r2=(SETTLED, 4_500.0), r9=(SETTLED, 0.0))
         self.assertTrue(self.may_remove(roster))
 
     def test_half_of_a_fleet_removes_the_other_half(self):
-        """Two of four hosts are lost at once, as with a rack of a small fleet."""
+        """Two of four hosts fail at once, such as a rack of a small fleet."""
         lost = (SETTLED, 0.0)
         roster = make_roster(r2=(SETTLED, 4_500.0), r8=lost, r9=lost)
         self.assertTrue(self.may_remove(roster))
@@ -125,24 +128,28 @@
         roster = make_roster(r2=(OUT, 4_500.0), r3=(OUT, 0.0), r4=(OUT, 0.0))
         self.assertFalse(roster.is_platform_out(SEEN, 4_600.0))
 
-    def test_minority_with_the_platform_removes_nobody(self):
-        """Of five routers one reaches the platform and hears no other.
+    def test_minority_that_reaches_the_platform_removes_no_router(self):
+        """Guards against removing a cut-off majority that keeps serving.
 
-        The four hear each other, take the platform for out and serve on; were
-        they removed, a declaration could be accepted without them.
+        One of five routers reaches the platform and hears no other router.  The
+        other four hear each other, conclude that the platform is down and keep
+        serving.  If they were removed, a declaration could be accepted without
+        them.
         """
         silent = (SETTLED, 0.0)
         roster = make_roster(r2=silent, r3=silent, r4=silent, r9=silent)
         self.assertFalse(self.may_remove(roster))
 
-    def test_voice_from_before_the_loss_does_not_count(self):
+    def test_heartbeat_from_before_the_loss_does_not_count(self):
         roster = make_roster(r2=(SETTLED, 3_900.0), r9=(SETTLED, 0.0))
         self.assertFalse(self.may_remove(roster))
 
-    def test_newcomers_do_not_help_a_cut_off_minority(self):
-        """Of three routers one is cut off.  Two that join meanwhile lose the
-        platform too, and all three hear each other: three of five, but only
-        one of those that can remove it.
+    def test_routers_that_joined_later_do_not_help_a_cut_off_minority(self):
+        """Guards against counting routers that have no vote on the removal.
+
+        One of three routers is cut off.  Two routers that have joined since lose
+        the platform too, and these three hear each other.  They are three of five,
+        but only one of the three that vote on the removal.
         """
         roster = make_roster(r2=(SETTLED, 0.0), r3=(SETTLED, 0.0))
         for name in ("r5", "r6"):
@@ -150,18 +157,18 @@
             roster = roster.hear(newcomer, OUT, 4_500.0)
         self.assertFalse(roster.is_platform_out(SEEN, 4_600.0))
 
-    def test_router_that_renews_only_lately_does_not_count(self):
-        late = Vitals(renewing_for=LEASE)
-        roster = make_roster(r2=(late, 4_500.0), r9=(SETTLED, 0.0))
+    def test_router_that_renews_only_recently_does_not_count(self):
+        recent = Vitals(renewing_for=LEASE)
+        roster = make_roster(r2=(recent, 4_500.0), r9=(SETTLED, 0.0))
         self.assertFalse(self.may_remove(roster))
 
-    def test_newcomers_do_not_outvote_a_cut_off_majority(self):
+    def test_routers_that_joined_later_do_not_outvote_a_cut_off_majority(self):
         roster = make_roster(r2=(SETTLED, 0.0), r9=(SETTLED, 0.0))
         for name in ("r5", "r6", "r7"):
             newcomer = make_member(name, since=101)
             roster = roster.hear(newcomer, SETTLED, 4_500.0)
         self.assertFalse(self.may_remove(roster))
 
-    def test_member_with_a_sign_of_life_is_not_removed(self):
+    def test_member_that_was_heard_within_a_lease_is_not_removed(self):
         roster = make_roster(r2=(SETTLED, 4_500.0), r9=(SETTLED, 1_500.0))
         self.assertFalse(self.may_remove(roster))
--- a/tests/core/test_poison_views.py
+++ b/tests/core/test_poison_views.py
@@ -1,4 +1,4 @@
-"""What one content may cost where routers know different things."""
+"""Engines that a poison request crashes while routers' states differ."""
 
 import random
 import unittest
@@ -13,12 +13,13 @@
 
 
 class DifferingFleet(Fleet):
-    """Routers that don't know the same of the engines and of their caches.
+    """Routers whose knowledge of the engines and of their caches differs.
 
     Parameters
     ----------
     told
-        Whether the routers hear each other's news; if not, all are cut off.
+        Whether the routers receive each other's crash reports; if not, each
+        router is partitioned from all others.
     """
 
     def __init__(self, seed, told):
@@ -47,20 +48,20 @@
     def list_candidates(self, router):
         return dict.fromkeys(NAMES, 0)
 
-    def let_each_believe_another_holder(self):
-        """Let each router hear one cache event, of an engine of its own."""
+    def add_differing_cache_events(self):
+        """Send each router one cache event, from a different engine each."""
         for router, name in zip(self.routers, NAMES, strict=False):
             router.cache_event(CacheEvent(name, 1, stored=PREFIXES), self.now)
 
 
 class LateFleet(DifferingFleet):
-    """The last router has not heard yet that the last engine was declared."""
+    """A fleet whose last router doesn't have the last engine's declaration yet."""
 
     def __init__(self, seed, told):
         super().__init__(seed, told)
-        figures = DispatchSettings(routers=ROUTERS)
+        settings = DispatchSettings(routers=ROUTERS)
         self.routers = [
-            Dispatcher(figures, random.Random(seed + n)) for n in range(ROUTERS)
+            Dispatcher(settings, random.Random(seed + n)) for n in range(ROUTERS)
         ]
         engines = [Target(name, "north", 4 * ROUTERS) for name in NAMES]
         for router in self.routers:
@@ -75,12 +76,12 @@
 
 
 def send_at_once(fleet):
-    """Send the poison through all routers at one instant."""
+    """Send the poison request through all routers at the same instant."""
     fleet.run_poison([fleet.send(n, fleet.poison) for n in range(ROUTERS)])
 
 
 def send_in_turn(fleet):
-    """Send the poison through one router after the other, five seconds apart."""
+    """Send the poison request through each router in turn, five seconds apart."""
     for router in range(ROUTERS):
         fleet.run_poison([fleet.send(router, fleet.poison)])
         fleet.now += 5_000.0
@@ -89,7 +90,7 @@
 
 class DifferingViewsTest(unittest.TestCase):
     def count_lost(self, make, told, send=send_at_once, prepare=lambda fleet: None):
-        """Return how many engines each seed's run lost."""
+        """Return the number of engines that were lost in each seed's run."""
         lost = []
         for seed in SEEDS:
             fleet = make(seed, told)
@@ -98,26 +99,26 @@
             lost.append(len(set(fleet.lost)))
         return lost
 
-    def check(self, *rest, **named):
-        lost = self.count_lost(*rest, **named)
+    def check(self, *args, **kwargs):
+        lost = self.count_lost(*args, **kwargs)
         self.assertGreaterEqual(min(lost), 1)
-        self.assertLessEqual(max(lost), 2, f"engines lost a run: {lost}")
+        self.assertLessEqual(max(lost), 2, f"engines lost in each run: {lost}")
 
-    def test_each_router_believes_another_engine_to_hold_the_prefix(self):
-        """Guards against a holder of the prefix beside the content's own two."""
-        believe = DifferingFleet.let_each_believe_another_holder
+    def test_each_router_expects_the_prefix_in_another_engines_cache(self):
+        """Guards against sending to a cached prefix outside the content's homes."""
+        add_events = DifferingFleet.add_differing_cache_events
         for told in (True, False):
             with self.subTest(told=told):
-                self.check(DifferingFleet, told, prepare=believe)
+                self.check(DifferingFleet, told, prepare=add_events)
 
     def test_one_router_does_not_know_one_engine_yet(self):
-        """Guards against another order of engines where one is not declared yet."""
+        """Guards against other homes at a router without the newest declaration."""
         for told in (True, False):
             with self.subTest(told=told):
                 self.check(LateFleet, told)
 
-    def test_copies_one_after_the_other_where_an_engine_is_not_known(self):
-        """Guards against a third engine lost long after the first crash."""
+    def test_copies_arrive_in_turn_while_one_router_does_not_know_an_engine(self):
+        """Guards against losing a third engine long after the first crash."""
         for told in (True, False):
             with self.subTest(told=told):
                 self.check(LateFleet, told, send=send_in_turn)
--- a/tests/core/test_reach.py
+++ b/tests/core/test_reach.py
@@ -1,4 +1,4 @@
-"""Which targets a content may be sent to, by who else there is."""
+"""Targets that a content may be sent to, alone and beside other routers."""
 
 import random
 import unittest
@@ -26,27 +26,27 @@
         sent = self.dispatcher.arrive(work, 0.0)
         return [action.target for action in sent if isinstance(action, Send)]
 
-    def test_only_router_sends_work_anywhere_when_its_homes_are_full(self):
+    def test_single_router_sends_work_to_any_target_when_the_homes_are_full(self):
         used = {target for _ in range(3) for target in self.send(f"c{self.count}")}
         self.assertEqual(len(used), 3)
         self.assertEqual(sum(len(self.send(f"d{n}")) for n in range(6)), 3)
 
-    def test_router_beside_one_that_does_not_serve_yet_keeps_to_the_homes(self):
-        """Guards against a third engine while a fleet is starting."""
+    def test_router_uses_only_the_homes_beside_one_that_does_not_serve_yet(self):
+        """Guards against losing a third engine while a fleet starts."""
         self.dispatcher.set_others(True)
         used = [target for _ in range(4) for target in self.send()]
         self.assertEqual(sorted(used), sorted(HOMES))
 
-    def test_newcomer_is_told_what_an_only_router_runs(self):
-        """Guards against a content that runs where a newcomer would not send it."""
+    def test_joining_router_receives_the_work_that_a_single_router_runs(self):
+        """Guards against a content that runs outside the homes, unknown to others."""
         (target,) = self.send()
         self.assertEqual(self.dispatcher.list_crashes(0.0), [])
         self.dispatcher.set_others(True)
         told = self.dispatcher.list_crashes(0.0)
         self.assertEqual(told, [Announce("c", target, times=0)])
 
-    def test_content_that_was_answered_whole_goes_anywhere(self):
-        """Guards against calls that all callers make alike and two engines get."""
+    def test_content_with_a_complete_answer_may_be_sent_to_any_target(self):
+        """Guards against sending a popular request to two engines only."""
         self.dispatcher.set_others(True)
         self.send()
         self.dispatcher.done("r1", 5, 1.0)
--- a/tests/core/test_relocation.py
+++ b/tests/core/test_relocation.py
@@ -1,4 +1,4 @@
-"""Work whose homes are out of use, sent elsewhere once all routers agree."""
+"""Relocation of work whose homes are out of use, once all routers agree."""
 
 import random
 import unittest
@@ -16,19 +16,20 @@
 
 
 class AskingFleet(Fleet):
-    """Routers that ask each other, over links of which some are cut."""
+    """Routers that ask each other for agreement, over links that may be cut."""
 
     def __init__(self, seed, routers=3, told=True):
         super().__init__(seed, routers, told)
-        figures = DispatchSettings(routers=routers, asks=True)
+        dispatch_settings = DispatchSettings(routers=routers, asks=True)
         self.routers = [
-            Dispatcher(figures, random.Random(seed + n)) for n in range(routers)
+            Dispatcher(dispatch_settings, random.Random(seed + n))
+            for n in range(routers)
         ]
         for router in self.routers:
             router.configure([Target(n, "north", 4 * routers) for n in NAMES], 0.0)
         self.homes = choose_homes(POISON, dict.fromkeys(NAMES, "north"))
         self.cut = set()
-        self.lost_ends = 0.0
+        self.outcome_loss = 0.0
         self.asked = []
 
     def take(self, router, actions):
@@ -41,16 +42,16 @@
                 router.crashed(news.content, news.target, self.now, times=news.times)
 
     def answer_all(self):
-        """Let the questions under way be answered, each round trip in turn."""
+        """Answer all pending questions, one round trip after the other."""
         while self.asked:
             source, ask = self.asked.pop(0)
             others = [n for n in range(len(self.routers)) if n != source]
-            met = [n for n in others if frozenset((n, source)) not in self.cut]
-            prepared = [self.routers[n].prepare(ask, self.now) for n in met]
-            agreed = all(prepared) and met == others
+            reachable = [n for n in others if frozenset((n, source)) not in self.cut]
+            prepared = [self.routers[n].prepare(ask, self.now) for n in reachable]
+            agreed = all(prepared) and reachable == others
             self.settle(source, ask, agreed)
-            for n in met:
-                if self.rng.random() >= self.lost_ends:
+            for n in reachable:
+                if self.rng.random() >= self.outcome_loss:
                     self.settle(n, ask, agreed)
 
     def settle(self, router, ask, agreed):
@@ -73,16 +74,16 @@
             fleet.take_down(target)
         return fleet
 
-    def test_work_whose_homes_are_out_is_served_elsewhere_once_all_agree(self):
-        """Guards against innocent work refused for as long as two engines are away."""
+    def test_work_whose_homes_are_out_runs_elsewhere_once_all_routers_agree(self):
+        """Guards against refusing harmless work as long as two engines are down."""
         fleet = self.make_fleet()
         name = fleet.send(0, "c")
         self.assertNotIn(name, fleet.running)
         fleet.answer_all()
         self.assertNotIn(fleet.running[name][1], HOMES)
 
-    def test_copies_at_two_routers_meet_where_they_agreed(self):
-        """Guards against a copy that goes to a home which comes back."""
+    def test_copies_at_other_routers_count_the_target_agreed_upon(self):
+        """Guards against reaching both homes too after these come back."""
         fleet = self.make_fleet()
         first = fleet.send(0, "c")
         fleet.answer_all()
@@ -95,7 +96,7 @@
             self.assertIn(fleet.running[name][1], allowed)
 
     def test_work_is_refused_when_one_router_has_sent_its_content_to_a_home(self):
-        """Guards against a third engine lost through a router that didn't know."""
+        """Guards against losing a third engine to work sent by another router."""
         fleet = self.make_fleet(down=())
         fleet.send(1, "c")
         for home in HOMES:
@@ -105,8 +106,8 @@
         self.assertIs(fleet.refused[name].code, NO_ENGINE)
         self.assertGreater(fleet.refused[name].retry_after, 0.0)
 
-    def test_work_is_refused_when_a_router_can_not_be_asked(self):
-        """Guards against a third engine lost on the other side of a cut."""
+    def test_work_is_refused_when_a_router_cannot_be_asked(self):
+        """Guards against losing a third engine on the other side of a partition."""
         fleet = self.make_fleet()
         fleet.cut.add(frozenset((0, 2)))
         name = fleet.send(0, "c")
@@ -115,10 +116,10 @@
         fleet.bring_back(HOMES[0])
         self.assertEqual(fleet.running[fleet.send(1, "c")], (1, HOMES[0]))
 
-    def test_router_that_prepared_and_hears_no_end_sends_the_content_nowhere(self):
-        """Guards against a home that is used after another router went elsewhere."""
+    def test_router_that_agreed_and_gets_no_outcome_holds_the_content_back(self):
+        """Guards against using a home after another router relocated the content."""
         fleet = self.make_fleet()
-        fleet.lost_ends = 1.0
+        fleet.outcome_loss = 1.0
         fleet.send(0, "c")
         fleet.answer_all()
         for home in HOMES:
@@ -128,7 +129,7 @@
         self.assertIs(fleet.refused[name].code, NO_ENGINE)
 
     def test_work_is_refused_after_a_router_was_lost_with_the_homes(self):
-        """Guards against a third engine lost where nobody is left to tell."""
+        """Guards against a third engine lost to work that only a lost router knew."""
         fleet = self.make_fleet()
         for router in fleet.routers:
             router.note_lost_router(fleet.now)
@@ -136,8 +137,8 @@
         self.assertEqual(fleet.asked, [])
         self.assertIs(fleet.refused[name].code, NO_ENGINE)
 
-    def test_work_that_waits_for_a_home_moves_when_both_are_gone(self):
-        """Guards against a caller that waits for engines that are gone."""
+    def test_work_that_waits_for_a_home_leaves_the_queue_when_both_are_gone(self):
+        """Guards against callers that wait for engines that are gone."""
         fleet = self.make_fleet(down=())
         for _ in range(30):
             fleet.send(0, "c")
@@ -148,7 +149,7 @@
         self.assertLessEqual(set(waiting), set(fleet.refused))
 
     def change_view(self, fleet):
-        """Let one router, or all, see an engine go out of use or come back."""
+        """Report an engine as leaving or staying to one router or to all."""
         rng, target = fleet.rng, fleet.rng.choice((*NAMES, *fleet.homes, *fleet.homes))
         seen_by = rng.choice((range(4), [rng.randrange(4)]))
         for n in seen_by:
@@ -158,12 +159,14 @@
 
     @settings(max_examples=300, deadline=None)
     @given(st.integers(0, 1_000_000))
-    def test_poison_costs_two_engines_through_cuts_and_outages(self, seed):
-        """Guards against any order of outages, cuts and questions that costs three."""
+    def test_poison_crashes_at_most_two_engines_during_partitions_and_outages(
+        self, seed
+    ):
+        """Guards against orders of outages, cuts and questions that lose a third."""
         fleet = AskingFleet(seed, routers=4)
         rng, poison = fleet.rng, []
         pairs = [frozenset((a, b)) for a in range(4) for b in range(a)]
-        fleet.lost_ends = rng.choice((0.0, 0.3, 1.0))
+        fleet.outcome_loss = rng.choice((0.0, 0.3, 1.0))
         for _ in range(80):
             fleet.now += rng.expovariate(1 / 500)
             self.change_view(fleet)
