--- a/anvilshift/core/reach.py
+++ b/anvilshift/core/reach.py
@@ -51,14 +51,18 @@
         return (*reached, *(n for n in homes if n not in reached))[:TARGETS]
 
     def list_usable(self, work: Work, pool: Pool, now: Millis) -> list[str] | None:
-        """Return the allowed targets that are in use; None if any candidate is."""
+        """Return the allowed targets that are in use; None if all are allowed."""
         names = self.list_allowed(work, pool, now)
         if names is None:
             return None
         return [name for name in names if self.is_used(name, pool)]
 
     def is_stuck(self, work: Work, pool: Pool, now: Millis) -> bool:
-        """Tell whether no target that work may be sent to is in use now."""
+        """Tell whether no target that work may be sent to is in use now.
+
+        Work without any allowed target counts as stuck only once the outcome of
+        another router's relocation is overdue.
+        """
         if not self.list_allowed(work, pool, now):
             return self._state.preparations.is_overdue(work.content, now)
         return not self.list_usable(work, pool, now)
--- a/anvilshift/core/relocation.py
+++ b/anvilshift/core/relocation.py
@@ -5,8 +5,9 @@
 have room.  If each router relocated work on its own, a poison request that crashed its
 homes would crash a third target.  See `preparations` for how the routers agree.
 
-Nobody knows what a crashed router had sent to the homes.  A content is therefore not
-relocated if a router was lost since the content's homes went out of use.
+Nobody knows what a router that ended without announcing it had sent to the homes.  A
+content is therefore not relocated if a router was lost since the content's homes went
+out of use.
 """
 
 import math
