--- a/anvilshift/core/allotments.py
+++ b/anvilshift/core/allotments.py
@@ -1,16 +1,16 @@
-"""Share one prepaid total among routers that may lose touch at any moment.
-
-Each holder, one incarnation of a router, has a ceiling for each organisation:
-the tokens that it may ever spend.  The ceilings and what ended holders have
-left behind never exceed the total, and they change only by conditional update
-of one object in the platform's store.  A holder spends below its ceiling
-without asking anybody, so neither a cut nor a restart can overspend; no clock
-and no lease is needed for that.
-
-A holder that dies leaves its whole ceiling counted as spent.  What is uncertain
-of that, the part above what it had recorded, is its doubt: it can't be handed
-out again, and a request that would fit into it isn't told that the budget is
-exhausted.
+"""Divide each prepaid total among routers that may be disconnected at any time.
+
+A holder is one incarnation of a router.  It has a ceiling for each organisation:
+the number of tokens that it may spend over its lifetime.  The sum of all ceilings
+and of the tokens counted for ended holders never exceeds the total.  Ceilings
+change only by conditional update of one object in the platform's store.  A holder
+spends up to its ceiling without coordination, so neither a network partition nor
+a restart can overspend the total, and no clock or lease is needed for that.
+
+When a holder dies, its whole ceiling counts as spent.  The part of that ceiling
+above its last recorded spending is its doubt: it may or may not have been spent.
+These tokens can't be granted again, and a request that would fit into them isn't
+told that the budget is exhausted.
 """
 
 from collections.abc import Mapping
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True)
 class Share:
-    """What one holder has of one organisation's total.
+    """One holder's share of one organisation's total.
 
     Parameters
     ----------
     ceiling
-        Tokens that the holder may spend in all.
+        Tokens that the holder may spend over its lifetime.
     recorded
-        Tokens that it had spent or reserved when it last wrote.
+        Tokens that it had spent or reserved at its last write to the store.
     """
 
     ceiling: int = 0
@@ -37,19 +37,21 @@
 
 @dataclass(frozen=True)
 class Allotment:
-    """One organisation's total and where its tokens are.
+    """One organisation's total and how it is divided among holders.
 
     Parameters
     ----------
     total
         Prepaid tokens, as of the newest configuration that any router wrote.
     version
-        That configuration's version: a router with an older one must not
-        hand out tokens that the newer one has taken back.
+        Version of that configuration.  A router with an older configuration must
+        not grant tokens that the newer one has withdrawn.
     closed
-        Ceilings of the holders that have ended.
+        Tokens counted as spent for the holders that have ended.
     doubt
         Part of `closed` that may not have been spent.
+    shares
+        By holder, its share.
     """
 
     total: int = 0
@@ -60,12 +62,12 @@
 
     @property
     def free(self) -> int:
-        """Return the tokens that no holder has; negative after a cut."""
+        """Return the unallocated tokens; negative after the total was reduced."""
         held = sum(share.ceiling for share in self.shares.values())
         return self.total - self.closed - held
 
     def spent_at_least(self) -> int:
-        """Return the tokens that are certainly spent or reserved."""
+        """Return a lower bound on the tokens that are spent or reserved."""
         recorded = sum(share.recorded for share in self.shares.values())
         return self.closed - self.doubt + recorded
 
@@ -75,8 +77,8 @@
         Parameters
         ----------
         spent
-            What it spent in all, when it said so itself or a bound is proved;
-            otherwise its whole ceiling counts.
+            Bounds on what it spent over its lifetime, if it reported them itself or
+            they are proved; otherwise its whole ceiling counts as spent.
 
         Examples
         --------
@@ -100,15 +102,15 @@
 
 @dataclass(frozen=True)
 class Wish:
-    """What a holder asks for one organisation.
+    """The ceiling that a holder requests for one organisation.
 
     Parameters
     ----------
     ceiling
-        The ceiling that it would like; a lower one gives tokens back.
+        The requested ceiling.  One below the current ceiling returns tokens.
     least
-        The ceiling that its waiting requests need; what is wanted beyond that
-        may take at most a part of what is free.
+        The ceiling that its waiting requests need.  The request beyond that is
+        granted from at most a fraction of the tokens that stay free.
     spent
         Tokens that it has spent or reserved.
     """
@@ -118,14 +120,22 @@
     spent: int
 
 
-_SPARE_PART = 0.5
-"""Most of the free tokens that one holder takes for its cushion: with five
-holders asking in turn, the last still finds a thirtieth of what was free."""
+_MAX_CUSHION_FRACTION = 0.5
+"""Largest fraction of the free tokens that one grant adds for a holder's cushion.
+When five holders ask in turn, a thirtieth of what was free is still left."""
 
 
 @dataclass(frozen=True)
 class Totals:
-    """The organisations' totals as one router knows them."""
+    """The organisations' totals in the configuration that one router has.
+
+    Parameters
+    ----------
+    version
+        Version of the configuration.
+    reserved
+        By organisation, its prepaid tokens.
+    """
 
     version: int
     reserved: Mapping[str, int] = field(default_factory=dict)
@@ -133,7 +143,7 @@
 
 @dataclass(frozen=True)
 class Allotments:
-    """Every organisation's allotment, as one object of the store holds them.
+    """The allotments of all organisations, stored as one object.
 
     Examples
     --------
@@ -147,23 +157,24 @@
     organisations: Mapping[str, Allotment] = field(default_factory=dict)
 
     def of(self, organisation: str) -> Allotment:
-        """Return an organisation's allotment; one nobody wrote yet is empty."""
+        """Return an organisation's allotment; empty if none was written yet."""
         return self.organisations.get(organisation, Allotment())
 
     def ceiling(self, organisation: str, holder: str) -> int:
-        """Return what a holder may spend in all."""
+        """Return the tokens that a holder may spend over its lifetime."""
         return self.of(organisation).shares.get(holder, Share()).ceiling
 
     def grant(
         self, holder: str, wishes: Mapping[str, Wish], totals: Totals
     ) -> "Allotments":
-        """Return the allotments with a holder's wishes met as far as they can be.
+        """Return the allotments after granting a holder's requests where possible.
 
-        Applied twice it changes nothing the second time, as long as the holder
-        has spent no more: an answer of the store may be lost after the write.
+        The operation is idempotent while the holder's spending is unchanged,
+        because the store's answer may be lost after the write took effect and the
+        write is then repeated.
         """
         changed = {
-            name: _meet(_renew(self.of(name), name, totals), holder, wish)
+            name: _apply_wish(_update_total(self.of(name), name, totals), holder, wish)
             for name, wish in wishes.items()
         }
         return Allotments({**self.organisations, **changed})
@@ -176,7 +187,8 @@
         Parameters
         ----------
         spent
-            By organisation; of one that is missing the whole ceiling counts.
+            By organisation, bounds on what the holder spent.  For an organisation
+            that is missing, the whole ceiling counts as spent.
         """
         known = spent or {}
         return Allotments(
@@ -191,26 +203,27 @@
         return {name for one in self.organisations.values() for name in one.shares}
 
 
-def _renew(allotment: Allotment, name: str, totals: Totals) -> Allotment:
+def _update_total(allotment: Allotment, name: str, totals: Totals) -> Allotment:
     if totals.version <= allotment.version:
         return allotment
     total = totals.reserved.get(name, 0)
     return replace(allotment, total=total, version=totals.version)
 
 
-def _meet(allotment: Allotment, holder: str, wish: Wish) -> Allotment:
+def _apply_wish(allotment: Allotment, holder: str, wish: Wish) -> Allotment:
     old = allotment.shares.get(holder, Share())
     free = max(0, allotment.free)
     if allotment.free < 0:
-        # The total was cut below what holders have: each gives up what it has
-        # not spent, or a cut total would go on being spent for seconds.
+        # The total was reduced below the sum of the ceilings.  Each holder returns
+        # what it has not spent, up to the deficit; otherwise holders would go on
+        # spending the withdrawn tokens for seconds.
         ceiling = max(wish.spent, min(wish.ceiling, old.ceiling + allotment.free))
     elif wish.ceiling <= old.ceiling:
         ceiling = max(wish.ceiling, wish.spent)
     else:
         needed = min(free, max(0, wish.least - old.ceiling))
         cushion = max(0, wish.ceiling - old.ceiling - needed)
-        spare = int((free - needed) * _SPARE_PART)
+        spare = int((free - needed) * _MAX_CUSHION_FRACTION)
         ceiling = old.ceiling + needed + min(cushion, spare)
     shares = {**allotment.shares, holder: Share(ceiling, wish.spent)}
     return replace(allotment, shares=shares)
--- a/anvilshift/core/asking.py
+++ b/anvilshift/core/asking.py
@@ -1,9 +1,10 @@
-"""Whom a request that lacks tokens asks next, and when it stops hoping.
+"""Which keeper a request that lacks tokens asks next, and when it stops waiting.
 
 Load pattern: a burst of prompts reaches a router that keeps no tokens of their
-organisation, while one of the two keepers has just been killed, or all that may be
-spent now is.  Asked in turn and at once, the keepers cost a round trip each; a
-request that waited out a fixed time would be refused late, or served late.
+organisation, while one of the two keepers has just been killed, or all tokens that may
+be spent now are spent.  Asking the keepers one after another without delay costs one
+round trip each.  With a fixed waiting time instead, a request would be refused or
+served late.
 """
 
 from collections.abc import Sequence
@@ -12,17 +13,18 @@
 from anvilshift.core.clock import Millis
 
 ANSWER_WITHIN: Millis = 60.0
-"""Time for an answer of a keeper, which takes 4 ms and at times a write of the store;
-then the datagram counts as lost."""
-_COPIES = 2
-"""Copies of an ask that one keeper is sent before the next one is asked."""
-_WRITES = 2
-"""Ends of writes after which a request was surely counted into one."""
+"""Time limit for a keeper's answer, after which the datagram counts as lost.  An answer
+takes 4 ms, plus at times a write to the store."""
+_MAX_TRIES = 2
+"""Number of times that a keeper is asked before the next keeper is asked."""
+_SUFFICIENT_WRITES = 2
+"""Number of completed writes after which at least one was prepared with the request
+included.  The first may have been in progress when the request began to wait."""
 
 
 @dataclass(frozen=True)
 class Answer:
-    """What a keeper said to an ask that it can't meet.
+    """A keeper's answer when it can't provide the tokens.
 
     Parameters
     ----------
@@ -38,15 +40,17 @@
 
 @dataclass
 class TokenHunt:
-    """One request's way through the keepers of its organisation's tokens.
+    """One request's search for tokens among the keepers of its organisation.
 
     Parameters
     ----------
     keepers
-        Whom to ask, first one first.
+        The keepers to ask, in this order.
     draws, records
-        Draws and records of this router that had ended when the request began to
-        wait.
+        Numbers of draws from the store and of use records that this router had
+        completed when the request began to wait.
+    answers
+        The answers received so far from keepers that lack the tokens.
 
     Examples
     --------
@@ -62,62 +66,62 @@
     draws: int = 0
     records: int = 0
     answers: list[Answer] = field(default_factory=list)
-    _turn: int = 0
-    _copies: int = 0
-    _due: Millis = 0.0
+    _index: int = 0
+    _tries: int = 0
+    _next_due: Millis = 0.0
 
     def find_next(self, now: Millis) -> str | None:
-        """Return the keeper that is to be asked now, if any."""
-        if now < self._due or self._turn >= len(self.keepers):
+        """Return the keeper to ask now, if any, and count it as asked."""
+        if now < self._next_due or self._index >= len(self.keepers):
             return None
-        if self._copies == _COPIES:
-            self._move_on()
+        if self._tries == _MAX_TRIES:
+            self._advance()
             return self.find_next(now)
-        self._copies += 1
-        self._due = now + ANSWER_WITHIN
-        return self.keepers[self._turn]
+        self._tries += 1
+        self._next_due = now + ANSWER_WITHIN
+        return self.keepers[self._index]
 
     def note(self, answer: Answer) -> None:
-        """Take in that the keeper which was asked last lacks the tokens."""
+        """Record that the keeper asked last lacks the tokens; go on to the next."""
         self.answers.append(answer)
         self.skip()
 
     def skip(self) -> None:
-        """Take in that the keeper which is to be asked is not there."""
-        self._move_on()
-        self._due = 0.0
+        """Go on to the next keeper, since the current one is unreachable."""
+        self._advance()
+        self._next_due = 0.0
 
-    def _move_on(self) -> None:
-        self._turn += 1
-        self._copies = 0
+    def _advance(self) -> None:
+        self._index += 1
+        self._tries = 0
 
     def is_over(self, now: Millis) -> bool:
-        """Tell whether nobody is left to be asked or waited for."""
-        if self._turn < len(self.keepers) - 1:
+        """Tell whether every keeper has answered, timed out or been skipped."""
+        if self._index < len(self.keepers) - 1:
             return False
-        last = self._turn == len(self.keepers) - 1
-        return not last or (self._copies == _COPIES and now >= self._due)
+        is_last = self._index == len(self.keepers) - 1
+        return not is_last or (self._tries == _MAX_TRIES and now >= self._next_due)
 
     def is_unanswered(self, now: Millis) -> bool:
-        """Tell whether all were asked and none of them has answered."""
+        """Tell whether the search is over without an answer from any keeper."""
         return self.is_over(now) and not self.answers
 
     def has_drawn(self, draws: int) -> bool:
-        """Tell whether a draw that counted this request in has ended.
+        """Tell whether a draw that included this request has ended.
 
-        One that was under way as it began to wait may not have.
+        A draw that was in progress when the request began to wait may not include it.
         """
-        return draws >= self.draws + _WRITES
+        return draws >= self.draws + _SUFFICIENT_WRITES
 
     def is_recorded(self, records: int) -> bool:
-        """Tell whether a record that counted this request in has ended."""
-        return records >= self.records + _WRITES
+        """Tell whether a write of a use record that included this request has ended."""
+        return records >= self.records + _SUFFICIENT_WRITES
 
     def is_certain(self) -> bool:
         """Tell whether every keeper said that the total can't cover the request."""
-        sure = [answer.certain for answer in self.answers]
-        return len(sure) >= len(self.keepers) > 0 and all(sure)
+        certain = [answer.certain for answer in self.answers]
+        return len(certain) >= len(self.keepers) > 0 and all(certain)
 
     def find_wait(self) -> Millis | None:
-        """Return when a keeper may first have the tokens; None if none said so."""
+        """Return the shortest wait that a keeper stated; None without an answer."""
         return min((answer.wait for answer in self.answers), default=None)
--- a/anvilshift/core/claims.py
+++ b/anvilshift/core/claims.py
@@ -1,21 +1,21 @@
-"""Claims: how non-idempotent work runs at most once.
+"""Claims ensure that non-idempotent work runs at most once.
 
-Before such work is sent anywhere, a claim for its organisation and key is
-created in the platform, which only one router can do.  Whoever comes later
-finds the claim and gets the recorded answer, or learns that the outcome isn't
-known; nobody sends the work again.
+Before such work is sent to a target, a router creates a claim for its organisation
+and idempotency key in the platform, where only one creation succeeds.  A later
+request with the same key finds the claim and receives the recorded answer, or an
+error if the outcome is unknown.  The work is never sent a second time.
 """
 
 from dataclasses import dataclass, replace
 from enum import Enum
 
 LIFETIME_S = 24 * 3600
-"""Seconds for which a key is remembered: far longer than a client retries (its
-deadline is ten minutes at most) and than a person waits before asking again."""
+"""Seconds for which a key is stored.  This is much longer than a client retries (its
+deadline is at most ten minutes) and than a person waits before trying again."""
 
 
 class ClaimState(Enum):
-    """How far claimed work has come."""
+    """State of claimed work; see `Claim`."""
 
     OPEN = "open"
     DONE = "done"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """The answer that callers of a key receive."""
+    """The answer that every request with the claim's key receives."""
 
     status: int
     content_type: str
@@ -34,25 +34,26 @@
 
 @dataclass(frozen=True)
 class Claim:
-    """The right to run one piece of work.
+    """The exclusive right to run one piece of work.
 
     Parameters
     ----------
     content
-        Digest of the request; the key with another body is an error.
+        Digest of the request.  Using the key with another body is an error.
     holder
-        The router incarnation that may send it.
+        The router incarnation that may send the work.
     token
-        Names the one request that may; two requests with one key can reach the
-        same router at once, so the holder alone doesn't tell them apart.
+        Identifies the one request that may send the work.  Two requests with the
+        same key can reach one router concurrently, so the holder alone doesn't
+        distinguish them.
     at
-        Wall-clock seconds when it was made.
+        Wall-clock seconds when the claim was created.
     state
-        OPEN from before it is sent; DONE once it ran; VOID when it provably
-        never left, so that another may claim it; LOST when it was sent and its
-        outcome will never be known.
+        OPEN from before the work is sent; DONE once it ran; VOID if the work was
+        provably never sent, so that another request may claim the key; LOST if it
+        was sent and its outcome can't be determined any more.
     answer
-        The answer of DONE work, unless it is too large to be kept.
+        The answer of DONE work, unless it is too large to be stored.
     """
 
     content: str
@@ -63,19 +64,24 @@
     answer: Answer | None = None
 
     def finish(self, answer: Answer | None) -> "Claim":
-        """Return the claim of work that ran, with its answer if it is kept."""
+        """Return the claim for work that ran, with its answer if that is stored."""
         return replace(self, state=ClaimState.DONE, answer=answer)
 
     def void(self) -> "Claim":
-        """Return the claim of work that provably never left."""
+        """Return the claim for work that was provably never sent."""
         return replace(self, state=ClaimState.VOID)
 
     def lose(self) -> "Claim":
-        """Return the claim of work that was sent and whose outcome is unknown."""
+        """Return the claim for work that was sent and whose outcome is unknown."""
         return replace(self, state=ClaimState.LOST)
 
     def is_expired(self, now: int) -> bool:
-        """Tell whether the key may be forgotten, given wall-clock seconds.
+        """Tell whether the claim's lifetime has passed, so that it may be deleted.
+
+        Parameters
+        ----------
+        now
+            Wall-clock seconds.
 
         Examples
         --------
@@ -87,13 +93,20 @@
 
 
 def end(found: Claim | None, ended: Claim) -> Claim | None:
-    """Return what to write so that a claim stands ended; None leaves it.
+    """Return the claim to write in order to end one, or None to write nothing.
+
+    Only the request that created a claim may end it.  Otherwise a VOID written late
+    or twice would release a claim that another request with the same key has created
+    since at the same router, and the work would run again.  If no claim is found, or
+    if both claims are VOID, the ended claim is written all the same, so that a
+    conditional write of the open claim that is still in progress fails.
 
-    Only the request that made a claim ends it.  A void that was written late
-    or twice would otherwise free a claim that another request with the same
-    key has taken since at the same router, and the work would run again.  A
-    claim that isn't there is made, and another's void is written anew, so that
-    a write of the claim that is still under way fails.
+    Parameters
+    ----------
+    found
+        The claim in the store, if any.
+    ended
+        The request's own claim in its final state.
 
     Examples
     --------
@@ -105,13 +118,13 @@
     """
     if found is None:
         return ended
-    own = found.token == ended.token and found.state is ClaimState.OPEN
+    is_own = found.token == ended.token and found.state is ClaimState.OPEN
     both_void = found.state is ended.state is ClaimState.VOID
-    return ended if own or both_void else None
+    return ended if is_own or both_void else None
 
 
 class Verdict(Enum):
-    """What a router does with a request, given the claim that it found."""
+    """How a router handles a request, given the claim that it found."""
 
     RUN = "run"
     ANSWER = "answer"
@@ -121,9 +134,17 @@
 
 
 def judge(found: Claim | None, wish: Claim) -> Verdict:
-    """Tell what to do with a request.
+    """Decide how to handle a request, given the claim found for its key.
 
-    A claim with the same token is the request's own, whose answer was lost.
+    A found claim with the request's token is its own: the write took effect and only
+    the store's answer to it was lost.
+
+    Parameters
+    ----------
+    found
+        The claim in the store, if any.
+    wish
+        The claim that the request wants to create.
 
     Examples
     --------
--- a/anvilshift/core/cushions.py
+++ b/anvilshift/core/cushions.py
@@ -1,7 +1,8 @@
-"""What one router has of one organisation's tokens, and what it may spend of them.
+"""One router's balance of one organisation's tokens, and how much it may spend.
 
-Load pattern: see `wallet`.  Here stand the sizes: how much keepers hold, how much
-of that they may spend without a record, and when tokens go back.
+The load pattern is described in `wallet`.  This module defines the sizes: how many
+tokens keepers hold, how many of those they may spend before their next use record,
+and when a router returns tokens.
 """
 
 import math
@@ -11,53 +12,62 @@
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.usage import Use
 
-_COVER: Millis = 10 * SECOND
-"""Use that a cushion lasts for while nobody could prove how little of it was spent."""
-_UNPROVED_MOST, _UNPROVED_SLOPE, _UNPROVED_LEAST = 0.35, 0.45, 0.17
-"""Then all cushions together hold at most this part of what is left, at most the
-second times the part of the total that is left, and otherwise at least the third of
-the total.  Each counts as spent whole when its router is killed."""
-_KEPT_PARTS = (0.55, 0.3)
-"""Parts of what is left that the first and the second keeper hold while a successor
-can prove how little was spent: a cut from the store leaves nothing else to spend.  The
-rest lies free, for when a keeper is down for seconds with its part."""
-_FIRST_PART = 0.002
-"""Part of a total that a router asks for before it knows what is left of it and how
-many routers share it.  One that took its whole cushion then, alone as it believed,
-stranded an eighth of a total when it was killed a second later."""
+_UNPROVED_COVERAGE: Millis = 10 * SECOND
+"""Duration of use at the measured rate that a cushion covers while no successor could
+prove how little of it was spent."""
+_UNPROVED_MAX, _UNPROVED_SLOPE, _UNPROVED_MIN = 0.35, 0.45, 0.17
+"""Bounds on the sum of all cushions in that case.  It is at most the first fraction of
+the remaining tokens, and at most the second times the remaining fraction of the total
+as a fraction of the remaining tokens.  Within these limits it is at least the third
+fraction of the total.  A cushion counts as spent in full when its router is killed."""
+_KEPT_FRACTIONS = (0.55, 0.3)
+"""Fractions of the remaining tokens that the first and the second keeper hold while a
+successor can prove how little was spent.  While the store is unreachable, nothing else
+can be spent.  The rest stays free in the store, for when a keeper is down for seconds
+and its tokens are out of reach."""
+_INITIAL_FRACTION = 0.002
+"""Fraction of a total that a router requests before it knows how much remains and how
+many routers share it.  A router that drew its whole cushion at that point, believing
+itself the only one, stranded an eighth of a total when it was killed a second later."""
 _REFILL_BELOW = 0.9
-"""Part of the cushion below which more is drawn; each draw is a priced write."""
-_AT_ONCE_PARTS = (0.06, 0.015)
-"""Part of what is left that the first and the second keeper may spend at any time.  No
-proof bounds it, so it is lost with all routers; and the first prompts of a cut need
-it before time has unlocked anything."""
-_REACH: Millis = 10 * SECOND
-"""Use, at the measured rate, that may be spent in a cut of 8 s: an organisation may
-send more than its usual meanwhile."""
-_REACH_LEAST = 0.06
-"""The same for an organisation that sends seldom, as a part of its total."""
-_GIVE_ABOVE = 1.4
-"""Part of the cushion above which tokens go back, far enough from the refill
-that a wave in the traffic doesn't draw and give back in turn."""
-_RETURN_PART = 0.01
-"""Part of a total that may go to a keeper by datagram, where it may be lost; more
-than that goes back through the store."""
-_RATE_SPAN: Millis = 6 * SECOND
-"""Time constant of the measured rate: longer than the pause between two
+"""Fraction of the cushion below which a router draws more tokens.  It is below 1
+because each draw is a billed write to the store."""
+_AT_ONCE_FRACTIONS = (0.06, 0.015)
+"""Fractions of the remaining tokens that the first and the second keeper may spend at
+any time.  No proof bounds this spending, so the tokens are lost if all routers fail.
+They are needed for the first prompts of a store outage, before elapsed time has
+released any other tokens."""
+_OUTAGE_USE: Millis = 10 * SECOND
+"""Duration of use at the measured rate that may be spent during a store outage of 8 s.
+It is longer than the outage because an organisation may send more than usual."""
+_MIN_OUTAGE_USE = 0.06
+"""Lower bound on that amount, as a fraction of the total, for an organisation that
+sends rarely."""
+_RETURN_ABOVE = 1.4
+"""Multiple of the cushion above which tokens are returned to the store.  It is far
+enough above the refill threshold that fluctuating traffic doesn't cause alternate draws
+and returns."""
+_MAX_DATAGRAM_FRACTION = 0.01
+"""Largest fraction of a total that is returned to a keeper by datagram, which may be
+lost.  Larger amounts are returned through the store."""
+_RATE_TIME_CONSTANT: Millis = 6 * SECOND
+"""Time constant of the rate's exponential average: longer than the gap between two
 large prompts, shorter than an organisation's burst."""
-_IDLE: Millis = 1 * SECOND
-"""Without a request for so long, what a request left over goes back to a keeper: the
-next one of the same organisation would use it at once."""
+_IDLE_TIME: Millis = 1 * SECOND
+"""Time without a reservation after which leftover tokens are returned to a keeper.  A
+request of the same organisation within this time can use them immediately."""
 
 
 @dataclass(frozen=True)
 class Pace:
-    """How fast one record of this router's use lets it spend.
+    """The spending limit that one use record of this router sets over time.
 
     Parameters
     ----------
     anchor
-        When the record was made.
+        When the record was made, by the steady clock.
+    use
+        What the record states.
     """
 
     anchor: Millis
@@ -70,29 +80,44 @@
 
     Parameters
     ----------
-    ceiling
-        Tokens that may be spent in all; only what the store confirmed counts.
+    total
+        Prepaid tokens of the organisation.
+    keepers
+        Number of routers that keep the organisation's tokens.
+    rank
+        This router's position among these keepers, from 0; None if it is not one.
     left
-        What is left of the total in all, as of the last write; None before it.
+        Remaining tokens of the total across all routers, as of the last write to
+        the store; None before the first write.
+    ceiling
+        Tokens that this router may spend over its lifetime, as confirmed by the
+        store.
     settled
-        Tokens of requests that have ended, and those given to other routers;
-        less those that others gave.
+        Tokens spent by requests that have ended, plus tokens given to other routers,
+        minus tokens received from them.
     reserved
         By request, the most that it can cost.
     waiting
-        By request, what it needs and could not reserve.
-    rank
-        Place of this router among the `keepers` of the organisation's tokens; None
-        if it is none of them.
+        By request, the tokens that it needs and could not reserve.
+    paces
+        The limit of every use record that may be in the store.  If spending exceeded
+        one of them, a router that ends this router's share would count too little.
+    rate, rated_at
+        Exponential average of the use, in tokens a millisecond, and when it was
+        last updated.
+    rated_since
+        When the average began; None before the first use.
     free, free_until
-        Tokens that no router had as of the last write, and until when that holds.
+        Unallocated tokens as of the last write, and until when this router relies on
+        that number.
+    limited
+        Whether the organisation has a total at all.
+    provable
+        Whether a successor could prove how little this router spent.
     busy_at
         When a request last reserved tokens.
     unkept_until
-        Until when this router draws for itself although it is no keeper.
-    paces
-        Of every record of use that may stand in the store; were one of them
-        passed, whoever ends this router's share would count too little.
+        Until when this router draws from the store although it is not a keeper.
     """
 
     total: int = 0
@@ -116,26 +141,26 @@
 
     @property
     def spent(self) -> int:
-        """Return what is spent or may yet be by requests that run."""
+        """Return the tokens that are spent or reserved by running requests."""
         return self.settled + sum(self.reserved.values())
 
     @property
     def keeping(self) -> bool:
-        """Tell whether this router keeps the organisation's tokens."""
+        """Tell whether this router is a keeper of the organisation's tokens."""
         return self.rank is not None
 
     @property
     def ready(self) -> int:
-        """Return what lies ready, though not all of it may be spent at once."""
+        """Return the unspent tokens; use records may delay spending some of them."""
         return self.ceiling - self.spent
 
     def available(self, now: Millis) -> int:
-        """Return what another request may reserve now."""
+        """Return the tokens that another request may reserve now."""
         limits = [pace.use.most_after(now - pace.anchor) for pace in self.paces]
         return min([self.ceiling, *limits]) - self.spent
 
     def find_wait(self, tokens: int, now: Millis) -> Millis | None:
-        """Return when so much may be reserved if nothing is drawn; None is never."""
+        """Return the time until `tokens` may be reserved without a draw, or None."""
         if tokens > self.ready:
             return None
         spent, longest = self.spent + tokens, 0.0
@@ -147,29 +172,30 @@
         return longest
 
     def make_use(self, now: Millis) -> Use:
-        """Return what to say of this organisation's use now."""
+        """Return the use of this organisation to record now."""
         needed = self.spent + sum(self.waiting.values())
         recorded = needed if needed <= self.ceiling else self.spent
         beyond = max(0, self.ceiling - recorded)
         if self.rank is None:
-            # It spends what keepers gave for one request each.  Paced, it would ask
-            # for the tokens of the next one while those of the last lie unused.
+            # A router that is not a keeper spends what keepers gave it for single
+            # requests.  If its spending were limited over time, it would ask for the
+            # next request's tokens while those left from the last one are unused.
             return Use(recorded, beyond, beyond)
         rate = self.current_rate(now)
-        reach = max(int(rate * _REACH), int(self.total * _REACH_LEAST))
-        reach = min(reach, beyond)
-        at_once = int(max(0, self.left or 0) * _AT_ONCE_PARTS[self.rank])
-        return Use(recorded, min(at_once, reach), reach)
+        extra = max(int(rate * _OUTAGE_USE), int(self.total * _MIN_OUTAGE_USE))
+        extra = min(extra, beyond)
+        at_once = int(max(0, self.left or 0) * _AT_ONCE_FRACTIONS[self.rank])
+        return Use(recorded, min(at_once, extra), extra)
 
     def is_paced(self) -> bool:
-        """Tell whether a record keeps this router from spending what lies ready."""
+        """Tell whether a use record limits spending to less than the ceiling."""
         uses = [pace.use for pace in self.paces]
         return any(use.recorded + use.at_once < self.ceiling for use in uses)
 
     def count_use(self, tokens: int, now: Millis) -> None:
-        """Follow the rate of use, in tokens a millisecond."""
-        gone = math.exp(-(now - self.rated_at) / _RATE_SPAN)
-        self.rate = self.rate * gone + tokens / _RATE_SPAN
+        """Update the measured rate of use, in tokens a millisecond."""
+        decay = math.exp(-(now - self.rated_at) / _RATE_TIME_CONSTANT)
+        self.rate = self.rate * decay + tokens / _RATE_TIME_CONSTANT
         self.rated_at = now
         if self.rated_since is None:
             self.rated_since = now
@@ -178,69 +204,78 @@
         """Return the rate of use now, in tokens a millisecond."""
         if self.rated_since is None:
             return 0.0
-        # A mean that began a moment ago holds little yet; it is put right by the
-        # part of its weights that it has seen.
-        seen = 1.0 - math.exp(-max(SECOND, now - self.rated_since) / _RATE_SPAN)
-        return self.rate * math.exp(-(now - self.rated_at) / _RATE_SPAN) / seen
+        # An exponential average that began recently is too low; dividing by the sum
+        # of the weights so far corrects this bias.
+        weight = 1.0 - math.exp(
+            -max(SECOND, now - self.rated_since) / _RATE_TIME_CONSTANT
+        )
+        return (
+            self.rate * math.exp(-(now - self.rated_at) / _RATE_TIME_CONSTANT) / weight
+        )
 
     def cushion(self, now: Millis) -> int:
-        """Return the tokens that should lie ready beyond what is reserved."""
+        """Return the number of unreserved tokens that this router should hold."""
         if not self.keeping:
             return 0
         if self.left is None:
-            return int(self.total * _FIRST_PART)
+            return int(self.total * _INITIAL_FRACTION)
         left = max(0, self.left)
         if self.provable:
-            return int(left * _KEPT_PARTS[self.rank or 0])
-        least = int(self.total * _UNPROVED_LEAST / self.keepers)
-        wanted = max(int(self.current_rate(now) * _COVER), least)
-        part = min(_UNPROVED_MOST, _UNPROVED_SLOPE * left / max(1, self.total))
-        return min(wanted, int(left * part / self.keepers))
+            return int(left * _KEPT_FRACTIONS[self.rank or 0])
+        least = int(self.total * _UNPROVED_MIN / self.keepers)
+        wanted = max(int(self.current_rate(now) * _UNPROVED_COVERAGE), least)
+        fraction = min(_UNPROVED_MAX, _UNPROVED_SLOPE * left / max(1, self.total))
+        return min(wanted, int(left * fraction / self.keepers))
 
     def make_wish(self, now: Millis) -> Wish:
-        """Return what to ask of the store now."""
+        """Return the ceiling to request from the store now."""
         needed = self.spent + sum(self.waiting.values())
         cushion = self.cushion(now)
         ceiling = needed + cushion
-        if needed <= self.ceiling <= needed + int(cushion * _GIVE_ABOVE):
+        if needed <= self.ceiling <= needed + int(cushion * _RETURN_ABOVE):
             ceiling = max(ceiling, self.ceiling)
         return Wish(ceiling, needed, self.spent)
 
     def needs_change(self, now: Millis) -> bool:
-        """Tell whether the share in the store should change."""
+        """Tell whether this router should request another ceiling."""
         if not self.limited:
             return False
-        if not self.keeping and self.ready > int(self.total * _RETURN_PART):
+        if not self.keeping and self.ready > int(self.total * _MAX_DATAGRAM_FRACTION):
             return True
         if not self.draws(now):
             return False
         cushion = self.cushion(now)
-        if self.ready > max(1, int(cushion * _GIVE_ABOVE)):
+        if self.ready > max(1, int(cushion * _RETURN_ABOVE)):
             return True
         if self.is_dry(now):
             return False
         return self.lacks() or self.ready < cushion * _REFILL_BELOW
 
     def is_dry(self, now: Millis) -> bool:
-        """Tell whether a draw would find too little free for any request that waits.
+        """Tell whether too few tokens are free for even the smallest waiting request.
 
-        What one write tells holds for all organisations: looked at for each alone,
-        a burst near the end of many totals costs several priced writes a second.
+        The answer to one write reports the free tokens of all organisations.  If each
+        organisation were checked by a write of its own, a burst near the end of many
+        totals would cost several billed writes a second.
         """
         least = min(self.waiting.values(), default=1) - max(0, self.ready)
         return now < self.free_until and self.free < max(1, least)
 
     def draws(self, now: Millis) -> bool:
-        """Tell whether this router draws from the store, as no keeper does it."""
+        """Tell whether this router draws from the store, as a keeper or without one."""
         return self.keeping or now < self.unkept_until
 
     def find_idle(self, now: Millis) -> int:
-        """Return the tokens that lie idle at a router that keeps none."""
-        idle = not self.reserved and not self.waiting and now - self.busy_at > _IDLE
+        """Return the unused tokens that a router other than a keeper should return."""
+        idle = (
+            not self.reserved and not self.waiting and now - self.busy_at > _IDLE_TIME
+        )
         if self.keeping or not self.limited or not idle:
             return 0
-        return min(max(0, self.available(now)), int(self.total * _RETURN_PART))
+        return min(
+            max(0, self.available(now)), int(self.total * _MAX_DATAGRAM_FRACTION)
+        )
 
     def lacks(self) -> bool:
-        """Tell whether requests wait for more than lies ready."""
+        """Tell whether waiting requests need more tokens than this router has."""
         return sum(self.waiting.values()) > self.ready
--- a/anvilshift/core/departures.py
+++ b/anvilshift/core/departures.py
@@ -1,9 +1,10 @@
-"""Which targets are leaving, by every sign that there is.
+"""Which targets are leaving, according to all sources of information.
 
-A target leaves by the platform's host list, by its own load report, by the
-word of another router, or because it refuses connections.  Each source may be
-late or silent, so the first sign from any of them counts, and a target stays
-away until every source that gave a sign has taken it back.
+The platform's host list, the target's own load report or another router may
+state that a target is leaving, and a target that refuses connections counts as
+leaving too.  Each source may be late or silent, so the first statement from any
+of them takes effect.  The target counts as leaving until every source that
+reported it has withdrawn its statement.
 """
 
 from collections.abc import Iterable, Mapping, Set
@@ -12,14 +13,20 @@
 HOST_LIST = "host list"
 REPORT = "report"
 REFUSED = "refused"
-_TOLD = (HOST_LIST, REPORT)
-"""Signs passed on to peers.  A refused connection may be this router's own
-trouble, and a peer's word passed on could outlive its source for ever."""
+_FORWARDED_SOURCES = (HOST_LIST, REPORT)
+"""Sources whose statements are forwarded to peers.  A refused connection may be due
+to a fault of this router.  Statements of peers aren't forwarded, because they could
+circulate between routers for ever after the source withdrew them."""
 
 
 @dataclass(frozen=True)
 class Departures:
-    """The signs, by source.
+    """The targets that are leaving, by source of the statement.
+
+    Parameters
+    ----------
+    signs
+        By source, the targets that it states are leaving.
 
     Examples
     --------
@@ -34,31 +41,33 @@
 
     @property
     def leaving(self) -> frozenset[str]:
-        """Return the targets that any source says are leaving."""
+        """Return the targets that at least one source states are leaving."""
         return frozenset().union(*self.signs.values())
 
     @property
     def told(self) -> frozenset[str]:
-        """Return the targets that peers are told of."""
-        known = [self.signs[source] for source in _TOLD if source in self.signs]
+        """Return the leaving targets that peers are informed of."""
+        known = [
+            self.signs[source] for source in _FORWARDED_SOURCES if source in self.signs
+        ]
         return frozenset().union(*known)
 
     def take(self, source: str, targets: Iterable[str]) -> "Departures":
-        """Return the signs after a source gave its whole list."""
+        """Return the departures after replacing the whole list of a source."""
         return replace(self, signs={**self.signs, source: frozenset(targets)})
 
     def mark(self, source: str, target: str, leaving: bool) -> "Departures":
-        """Return the signs after a source spoke of one target."""
+        """Return the departures after a source reported on one target."""
         old = self.signs.get(source, frozenset())
         new = old | {target} if leaving else old - {target}
         return self if new == old else self.take(source, new)
 
     def keep_targets(self, sources: Iterable[str], targets: Set[str]) -> "Departures":
-        """Return the signs without what some sources said of other targets."""
+        """Return the departures with the lists of some sources limited to targets."""
         kept = {s: self.signs[s] & targets for s in sources if s in self.signs}
         return replace(self, signs={**self.signs, **kept})
 
     def keep(self, sources: Iterable[str]) -> "Departures":
-        """Return the signs of some sources only."""
+        """Return the departures as stated by some sources only."""
         kept = set(sources)
         return replace(self, signs={k: v for k, v in self.signs.items() if k in kept})
--- a/anvilshift/core/keepers.py
+++ b/anvilshift/core/keepers.py
@@ -1,30 +1,30 @@
-"""Choose the routers that keep an organisation's tokens for all others.
+"""Choose the routers that keep an organisation's tokens for all routers.
 
-Load pattern: dozens of routers serve one organisation a few requests a second each,
-and all of them lose the platform's store for eight seconds.  If each held tokens of
-its own, a prompt of 40,000 tokens would find a thirtieth of what is left at its
-router, and every router would write its share and its use into the store.
+Load pattern: dozens of routers each serve a few requests a second of one organisation,
+and all of them lose the platform's store for eight seconds.  If each router held tokens
+of its own, a prompt of 40,000 tokens would find only a thirtieth of the remaining
+tokens at its router, and every router would write its share and its use to the store.
 
-So two routers keep nearly all that may be spent without the store, and the others
-ask them, a round trip of milliseconds.  Two, because one may be killed: the other
-half stays in reach.
+Therefore two routers, the keepers, hold nearly all tokens that may be spent without the
+store, and the other routers request tokens from them in a round trip of milliseconds.
+There are two because one may be killed; the tokens of the other stay available.
 """
 
 import hashlib
 from collections.abc import Collection
 
 KEEPERS = 2
-"""Routers that keep one organisation's tokens."""
-_CANDIDATES = 4
-"""Routers that keep any organisation's tokens: each of them writes its share of all
-totals into one object, and more would mostly meet each other's writes."""
+"""Number of routers that keep one organisation's tokens."""
+_CANDIDATE_COUNT = 4
+"""Number of routers that keep tokens of any organisation.  Each writes its shares of
+all totals to one object; with more writers, most writes would conflict."""
 
 
 def list_keepers(organisation: str, routers: Collection[str]) -> tuple[str, ...]:
-    """Return the routers that keep an organisation's tokens, first one first.
+    """Return the routers that keep an organisation's tokens, in order of rank.
 
-    Rendezvous hashing: when a router goes or comes, only the organisations that it
-    kept or will keep move.
+    With rendezvous hashing, when a router leaves or joins, the keepers change only for
+    organisations kept, before or after, by it or by the candidate exchanged for it.
 
     Examples
     --------
@@ -35,21 +35,26 @@
     >>> after[0] == before[1]
     True
     """
-    candidates = rank_routers("", routers)[:_CANDIDATES]
+    candidates = rank_routers("", routers)[:_CANDIDATE_COUNT]
     return tuple(rank_routers(organisation, candidates)[:KEEPERS])
 
 
 def rank_routers(key: str, routers: Collection[str]) -> list[str]:
-    """Return routers in an order that a key fixes, by rendezvous hashing."""
-    return sorted(routers, key=lambda router: (_weigh(key, router), router))
+    """Return routers in the order of their rendezvous hashes with a key."""
+    return sorted(routers, key=lambda router: (_compute_hash(key, router), router))
 
 
-def _weigh(key: str, router: str) -> bytes:
+def _compute_hash(key: str, router: str) -> bytes:
     return hashlib.blake2b(f"{key}/{router}".encode(), digest_size=8).digest()
 
 
 class KeeperMap:
-    """Who keeps which organisation's tokens among the routers that are there.
+    """The keepers of each organisation's tokens among the live routers.
+
+    Parameters
+    ----------
+    own
+        Name of this router.
 
     Examples
     --------
@@ -65,36 +70,36 @@
     def __init__(self, own: str) -> None:
         self.own = own
         self.routers = frozenset({own})
-        self._known: dict[str, tuple[str, ...]] = {}
+        self._cache: dict[str, tuple[str, ...]] = {}
 
     def set_routers(self, routers: Collection[str]) -> bool:
-        """Take in which routers are there; tell whether that changed."""
+        """Set the live routers; return whether they changed."""
         if self.routers == routers:
             return False
         self.routers = frozenset(routers)
-        self._known.clear()
+        self._cache.clear()
         return True
 
     def list_keepers(self, organisation: str) -> tuple[str, ...]:
-        """Return the keepers of an organisation's tokens, first one first."""
-        if organisation not in self._known:
-            self._known[organisation] = list_keepers(organisation, self.routers)
-        return self._known[organisation]
+        """Return the keepers of an organisation's tokens, in order of rank."""
+        if organisation not in self._cache:
+            self._cache[organisation] = list_keepers(organisation, self.routers)
+        return self._cache[organisation]
 
     def is_keeper(self, organisation: str) -> bool:
-        """Tell whether this router keeps an organisation's tokens."""
+        """Tell whether this router is a keeper of an organisation's tokens."""
         return self.own in self.list_keepers(organisation)
 
     def find_rank(self, organisation: str) -> int | None:
-        """Return this router's place among the keepers, 0 first; None if it is none."""
+        """Return this router's rank among the keepers, from 0; None if not a keeper."""
         keepers = self.list_keepers(organisation)
         return keepers.index(self.own) if self.own in keepers else None
 
     def list_others(self, organisation: str) -> tuple[str, ...]:
-        """Return the keepers other than this router, first one first."""
+        """Return the keepers other than this router, in order of rank."""
         keepers = self.list_keepers(organisation)
         return tuple(one for one in keepers if one != self.own)
 
     def count_recording(self) -> int:
         """Return how many routers keep tokens of any organisation."""
-        return min(len(self.routers), _CANDIDATES)
+        return min(len(self.routers), _CANDIDATE_COUNT)
--- a/anvilshift/core/once.py
+++ b/anvilshift/core/once.py
@@ -1,17 +1,25 @@
-"""Tell whether a numbered message came before."""
+"""Detect duplicates among numbered messages."""
 
 from dataclasses import dataclass, field
 
-_KEPT = 256
-"""Numbers of one sender that are kept: messages overtake one another by a few."""
+_MAX_STORED = 256
+"""Most numbers of one sender that are stored.  Messages arrive out of order by only a
+few positions."""
 
 
 @dataclass
 class Numbers:
-    """The numbers of one sender's messages that have come.
+    """The numbers of one sender's messages that were received.
 
-    Of those before the oldest one kept it is no longer known; they count as come,
-    so that a message may be lost for being very late but is never taken twice.
+    Numbers up to `floor` are no longer stored and count as received.  So a message
+    that arrives very late may be dropped, but none is accepted twice.
+
+    Parameters
+    ----------
+    floor
+        The largest number that was removed from `seen`.
+    seen
+        The received numbers above `floor`.
 
     Examples
     --------
@@ -24,11 +32,11 @@
     seen: set[int] = field(default_factory=set)
 
     def take(self, number: int) -> bool:
-        """Take in a number; tell whether it is new."""
+        """Record a number as received; return whether it is new."""
         if number <= self.floor or number in self.seen:
             return False
         self.seen.add(number)
-        if len(self.seen) > _KEPT:
+        if len(self.seen) > _MAX_STORED:
             self.floor = min(self.seen)
             self.seen.discard(self.floor)
         return True
--- a/anvilshift/core/orders.py
+++ b/anvilshift/core/orders.py
@@ -1,11 +1,12 @@
-"""Who gives orders to engines, and which orders are due.
-
-One router at a time owns the orders, by an object in the platform that changes
-by conditional update only; its fencing number grows with each owner.  An
-engine that checks the number refuses a former owner.  For one that ignores it
-an order states the desired end, a new owner waits until its predecessor's
-last order must have ended, and goes on reading back what the engine has: an
-order of an owner that was paused in the act is overwritten in the next round.
+"""Which router sends orders to engines, and which orders are due.
+
+One router at a time is the owner: it alone sends orders.  Ownership is recorded in
+an object of the platform that changes only by conditional update, and its fencing
+number increases with each owner.  An engine that checks the number rejects orders
+of a former owner.  Engines that ignore it are protected in three ways: an order
+states the desired state; a new owner waits until its predecessor's last order must
+have ended; and the owner reads back the engine's state repeatedly.  If a former
+owner was paused while sending an order, the next round overwrites that order.
 """
 
 from collections.abc import Iterable, Mapping
@@ -16,19 +17,19 @@
 from anvilshift.core.membership import Member
 
 ORDER_TIMEOUT: Millis = 1 * SECOND
-"""Longest that an engine's adapter waits for the answer to an order."""
+"""Timeout of an engine's adapter for the answer to an order."""
 
 
 @dataclass(frozen=True)
 class Ownership:
-    """Which router gives orders.
+    """Which router owns the orders to engines.
 
     Parameters
     ----------
     owner
-        The owner's incarnation; empty when it gave the orders up.
+        The owner's incarnation; empty after the owner released the ownership.
     fencing
-        Grows by one with each owner.
+        Fencing number, which increases by one with each owner.
 
     Examples
     --------
@@ -40,18 +41,25 @@
     fencing: int = 0
 
     def take(self, incarnation: str) -> "Ownership":
-        """Return the ownership of a new owner."""
+        """Return the ownership after a new owner has taken over."""
         return Ownership(incarnation, self.fencing + 1)
 
     def release(self, incarnation: str) -> "Ownership":
-        """Return the ownership after its owner gave the orders up."""
+        """Return the ownership after a release, which only the owner can make."""
         return replace(self, owner="") if self.owner == incarnation else self
 
     def is_due(self, own: Member, present: Iterable[Member]) -> bool:
-        """Tell whether a router shall take the orders over.
+        """Tell whether a router should take over the ownership.
 
-        Of the routers that are there, the first by name does, so that a
-        fleet without an owner does not race for it each time.
+        Without a live owner, only the first live router by name takes over, so that
+        the routers don't compete with conditional updates each time.
+
+        Parameters
+        ----------
+        own
+            The router.
+        present
+            The other live routers.
         """
         members = [own, *present]
         if any(member.incarnation == self.owner for member in members):
@@ -60,20 +68,28 @@
 
 
 def is_first(own: Member, members: Iterable[Member]) -> bool:
-    """Tell whether a router is the first by name of those that stay."""
+    """Tell whether a router is the first by name of those not leaving."""
     staying = [member.name for member in (own, *members) if not member.leaving]
     return bool(staying) and min(staying) == own.name
 
 
 @dataclass(frozen=True)
 class Assignment:
-    """What one engine shall have loaded."""
+    """The desired state of one engine.
+
+    Parameters
+    ----------
+    engine
+        The engine.
+    desired
+        The state, by key; other keys of the engine's state are ignored.
+    """
 
     engine: Engine
     desired: Mapping[str, str]
 
     def is_met(self, state: Mapping[str, object]) -> bool:
-        """Tell whether the engine's own account of its state is as desired.
+        """Tell whether the state that the engine reports matches the desired state.
 
         Examples
         --------
@@ -88,7 +104,7 @@
 
 
 def list_assignments(catalogue: Catalogue) -> list[Assignment]:
-    """Return what every engine of a group with a desired state shall have."""
+    """Return the assignments of all engines whose group has a desired state."""
     return [
         Assignment(engine, group.desired)
         for group in catalogue.groups.values()
@@ -98,10 +114,10 @@
 
 
 def compute_wait(lease: Millis) -> Millis:
-    """Return how long after a takeover the former owner may still give orders.
+    """Return how long after a takeover the former owner may still send orders.
 
-    It gives none later than a lease after it last read that it is the owner,
-    and the last one ends within the timeout of an order.
+    The former owner sends none later than one lease after it last read that it is the
+    owner, and its last order ends within the timeout of an order.
 
     Examples
     --------
--- a/anvilshift/core/rationing.py
+++ b/anvilshift/core/rationing.py
@@ -1,8 +1,9 @@
-"""Keep waiting work to the limits that targets name.
+"""Apply the rate limits that targets state to waiting work.
 
-Work goes to a target that has named a limit only with a permit, which some router
-issues for all.  Where work waits for such a target and nothing but a permit is
-missing, one is wanted; it is used at once or lapses.
+Work is sent to a target that has stated a limit only with a permit.  For each such
+target one router issues the permits for all routers.  A router requests a permit when
+work waits for the target and only the permit is missing.  A permit that isn't used
+immediately expires.
 """
 
 from dataclasses import dataclass
@@ -17,12 +18,18 @@
 
 @dataclass(frozen=True)
 class Want:
-    """Work waits for a target, and only a permit is missing.
+    """A request for a permit: work waits for a target and lacks only a permit.
 
     Parameters
     ----------
+    target
+        Name of the target.
+    organisation
+        Organisation of the work.
     rank
-        How urgent the work is; less is more urgent.
+        Urgency of the work; a lower rank is more urgent.
+    deadline
+        Deadline of the work.
     """
 
     target: str
@@ -32,7 +39,7 @@
 
 
 class Rationing:
-    """The limits of a router's targets."""
+    """The rate limits that a router's targets have stated, and their permits."""
 
     def __init__(self, state: DispatchState, sender: Sender) -> None:
         self._state = state
@@ -40,12 +47,14 @@
         self._limited: set[str] = set()
 
     def learn(self, view: TargetView, named: float | None, at: Millis) -> None:
-        """Take in what a target said of its limit.
+        """Update a target's limit from a report of the target.
 
         Parameters
         ----------
+        named
+            The limit in requests a second; None if the report states none.
         at
-            When it said so.
+            When the target made the report.
         """
         view.named = learn(view.named, named, sent=at, now=at)
         if view.named is not None:
@@ -53,7 +62,7 @@
             self._state.refresh(view)
 
     def end_over(self, now: Millis) -> Actions:
-        """Forget limits that are over, and send what waited for them."""
+        """Remove limits that no longer apply, and send the work that waited."""
         actions: Actions = []
         for name in list(self._limited):
             view = self._state.views.get(name)
@@ -68,15 +77,15 @@
         return actions
 
     def list_wants(self) -> list[Want]:
-        """Return the targets for which a permit is wanted."""
+        """Return the permits to request, at most one for each target."""
         wants = []
         for name in self._limited:
             view = self._state.views.get(name)
             if view is not None and not view.is_permitted() and view.has_slot():
-                wants += self._make_want(view)
+                wants += self._find_want(view)
         return wants
 
-    def _make_want(self, view: TargetView) -> list[Want]:
+    def _find_want(self, view: TargetView) -> list[Want]:
         found = self._sender.next_for(view)
         if found is None:
             return []
@@ -86,12 +95,14 @@
         return [Want(name, work.organisation, rank, work.deadline)]
 
     def permit(self, name: str, run: str, now: Millis) -> Actions:
-        """Take in a permit; the work that goes first uses it.
+        """Apply a granted permit to the work that is next for the target.
 
         Parameters
         ----------
+        name
+            Name of the target.
         run
-            Names the permit among all routers'.
+            Identifies the permit across all routers.
         """
         view = self._state.views.get(name)
         if view is None:
@@ -100,7 +111,8 @@
         view.permits = 1
         self._state.refresh(view)
         actions = self._sender.fill(view, now)
-        # What it suits may have gone elsewhere meanwhile.
+        # The work that the permit was requested for may have been sent to another
+        # target in the meantime, so an unused permit expires here.
         view.permits = 0
         self._state.refresh(view)
         return actions
--- a/anvilshift/core/resending.py
+++ b/anvilshift/core/resending.py
@@ -1,4 +1,4 @@
-"""Send failed work elsewhere, later, or not again."""
+"""Decide after a failed attempt whether, when and where work is sent again."""
 
 from anvilshift.core.backlog import Backlog
 from anvilshift.core.clock import Millis
@@ -13,12 +13,12 @@
 from anvilshift.core.work import NEVER_RAN, Actions, Failure
 
 NEWS_SPAN: Millis = 50.0
-"""Between a crash and the next try of what ran there: other routers that lost a
-target to the same content have told of it by then."""
+"""Delay between a crash of a target and the next attempt of work that ran there.  By
+then other routers that lost a target to the same content have reported it."""
 
 
 class Resending:
-    """The work whose attempt failed."""
+    """Retries, delays or refuses work whose attempt failed."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._relocation = relocation
 
     def retry(self, entry: Entry, failure: Failure, now: Millis) -> Actions:
-        """Return what becomes of work whose attempt has just failed."""
+        """Return the actions for work whose attempt has just failed."""
         work = entry.work
         pool = self._state.pools.find(work.candidates)
         never_ran = failure in NEVER_RAN
@@ -65,7 +65,7 @@
         return self.send_again(entry, now)
 
     def send_again(self, entry: Entry, now: Millis) -> Actions:
-        """Let work wait for a target again, or refuse it if there is none."""
+        """Queue and offer work again, or refuse it if no target is usable."""
         pool = self._state.pools.find(entry.work.candidates)
         if pool is None or not pool.usable:
             return [self._state.refuse(entry, NO_ENGINE, "", NO_TARGET_RETRY)]
@@ -77,7 +77,7 @@
     def _back_off(
         self, entry: Entry, pool: Pool, now: Millis, pause: Millis
     ) -> Actions:
-        """Send work again after a while."""
+        """Schedule work to be sent again after a pause."""
         self._backlog.entries[entry.work.identity] = entry, pool
         self._state.timers.at(now + pause, lambda at: self._end_pause(entry, at))
         return []
--- a/anvilshift/core/retention.py
+++ b/anvilshift/core/retention.py
@@ -1,14 +1,14 @@
-"""Bound how long ago something happened by how much history the store still keeps.
+"""Bound the time since an event by how much history the store still retains.
 
-A router that starts must know how long its host's former process can have been
-out of the store's reach before it ended.  After a loss of power no clock of the
-host tells: the steady clock begins anew, and the time of day may jump.
+A router that starts must know how long its host's former process can have gone on
+without the store before it ended.  After a loss of power, no clock of the host
+can measure that: the steady clock restarts, and the time of day may jump.
 
 The platform's store discards each change once it is `history` old, or sooner.  So
-while a revision can still be followed, the change after it is at most that old.
-Routers note by when the change after a revision had happened, and write some of
-these marks down; whoever finds the first of them that can still be followed knows
-a bound on the time since.
+as long as changes can be followed from a revision, the change after it is at most
+that old.  Routers note an instant by which the change after a revision had happened,
+a mark, and record some of their marks.  The oldest recorded mark whose revision can
+still be followed gives the tightest bound on the time since they were recorded.
 """
 
 from bisect import insort
@@ -18,16 +18,24 @@
 from anvilshift.core.clock import Millis
 
 SLACK: Millis = 150.0
-"""Added to the history that the store states: it discards a change some time after
-that is over."""
-_SPACING: Millis = 80.0
-"""Least time between two marks: a few routers that record several times a second
-make them no closer."""
+"""Margin added to the retention time that the store states, because it discards a
+change some time after the retention time has passed."""
+_MIN_SPACING: Millis = 80.0
+"""Minimum time between two marks.  The records of a few routers, each written several
+times a second, are no closer together."""
 
 
 @dataclass(frozen=True, order=True)
 class Mark:
-    """A revision, and an instant by which the change after it had happened."""
+    """A revision, and an instant by which the change after it had happened.
+
+    Parameters
+    ----------
+    followed
+        The instant, by the router's steady clock.
+    revision
+        The revision of the store.
+    """
 
     followed: Millis
     revision: int
@@ -36,8 +44,13 @@
 class MarkLog:
     """The marks of one router, by its own steady clock.
 
-    A steady clock that stands still while the host is suspended makes a mark look
-    younger than it is, so that the bound comes out longer, never shorter.
+    A steady clock that stops while the host is suspended makes a mark appear more
+    recent than it is, so the resulting bound is longer, never shorter.
+
+    Parameters
+    ----------
+    history
+        Time for which the store states that it retains a change.
 
     Examples
     --------
@@ -52,12 +65,14 @@
         self._marks: list[Mark] = []
 
     def add(self, mark: Mark) -> None:
-        """Take in a mark, unless one lies close by."""
-        if all(abs(one.followed - mark.followed) >= _SPACING for one in self._marks):
+        """Add a mark, unless another is less than the minimum spacing away."""
+        if all(
+            abs(one.followed - mark.followed) >= _MIN_SPACING for one in self._marks
+        ):
             insort(self._marks, mark)
 
     def expire(self, now: Millis) -> None:
-        """Forget what the store has discarded."""
+        """Remove marks that the store's history no longer reaches back to."""
         oldest = now - self.history - SLACK
         self._marks = [mark for mark in self._marks if mark.followed >= oldest]
 
@@ -66,20 +81,21 @@
         return tuple(self._marks)
 
     def recover(self, spans: Iterable[tuple[Millis, int]], instant: Millis) -> None:
-        """Take in marks that a process before this one had listed.
+        """Add marks that a former process had recorded.
 
-        Without them a fleet that has lost all power could prove nothing of its own
-        records until it had followed the store for most of the history's time.
+        Without them, after a loss of power of all routers, a fleet could prove no
+        bound for its own records until it had followed the store for most of the
+        retention time.
 
         Parameters
         ----------
         spans
-            Bounds on the time since an instant of the former process, and their
-            revisions, as `list_spans` gives them.
+            Bounds on the time since an instant of the former process, with their
+            revisions, as `list_spans` returns them.
         instant
-            An instant of this process' clock that was no earlier than that one.
-            The marks look younger by the time between, so that what they prove is
-            a longer bound, never a shorter one.
+            An instant of this process' clock, no earlier than the former one.  The
+            marks appear more recent by the time between the two instants, so they
+            prove longer bounds, never shorter ones.
 
         Examples
         --------
@@ -92,20 +108,20 @@
             self.add(Mark(instant - (self.history + SLACK - span), revision))
 
     def list_spans(self, anchor: Millis, most: Millis) -> list[tuple[Millis, Mark]]:
-        """Return marks with the time since an instant that each can bound.
+        """Return marks with the bound that each proves on the time since an instant.
 
         Parameters
         ----------
         anchor
             The instant.
         most
-            Longest bound that is of use.
+            Longest useful bound.
 
         Returns
         -------
         list
-            Shortest first.  While a mark's revision can be followed, less than its
-            span has gone by since the instant.
+            Bounds with their marks, shortest first.  As long as a mark's revision can
+            be followed, less time than the bound has passed since the instant.
         """
         spans = (
             (mark.followed + self.history + SLACK - anchor, mark)
@@ -117,12 +133,16 @@
 def thin(
     spans: Iterable[tuple[Millis, Mark]], step: Millis, part: float = 0.0
 ) -> list[tuple[Millis, Mark]]:
-    """Return marks whose spans lie at least a step apart, the shortest kept.
+    """Return the shortest span and those at least a step longer than the one before.
 
     Parameters
     ----------
+    spans
+        Marks with their spans, shortest first.
+    step
+        Minimum difference between two consecutive spans of the result.
     part
-        Part of the span before that the step is at least.
+        Minimum difference as a fraction of the shorter of the two spans.
 
     Examples
     --------
--- a/anvilshift/core/transcripts.py
+++ b/anvilshift/core/transcripts.py
@@ -1,4 +1,4 @@
-"""The text of an answer while it is made, read from any character on."""
+"""The text of an answer during generation, readable from any character offset."""
 
 from bisect import bisect_right
 
@@ -6,13 +6,13 @@
 class Transcript:
     """Pieces of text with their offsets in characters.
 
-    Pieces are kept apart: joining them at each token would copy a long answer
-    as often as it has tokens.
+    The pieces are stored separately, because joining them at each token would copy a
+    long answer once for every token.
 
     Parameters
     ----------
     text
-        What the caller has received already.
+        Text that the caller has received already.
 
     Examples
     --------
@@ -33,19 +33,19 @@
         return self._length
 
     def append(self, text: str) -> None:
-        """Add a piece at the end."""
+        """Append a piece of text."""
         if text:
             self._starts.append(self._length)
             self._pieces.append(text)
             self._length += len(text)
 
     def read(self, start: int) -> str:
-        """Return the text from a character on.
+        """Return the text from a character offset.
 
         Parameters
         ----------
         start
-            Characters to leave out; none are left when it is past the end.
+            The offset; the result is empty if it is past the end.
         """
         if start >= self._length:
             return ""
@@ -54,11 +54,11 @@
         return "".join((head, *self._pieces[index + 1 :]))
 
     def starts_with(self, text: str) -> bool:
-        """Tell whether the text begins with another."""
+        """Tell whether the transcript starts with a text."""
         return len(text) <= self._length and self.whole().startswith(text)
 
     def whole(self) -> str:
-        """Return the whole text."""
+        """Return the whole text, and store it as one piece from now on."""
         if len(self._pieces) > 1:
             self._pieces = ["".join(self._pieces)]
             self._starts = [0]
--- a/anvilshift/core/usage.py
+++ b/anvilshift/core/usage.py
@@ -1,14 +1,14 @@
-"""What a router says in the store of its use of prepaid totals.
+"""The use of prepaid totals that a router records in the store.
 
 Load pattern: all routers lose power at once, seconds after a burst.  Each held
-tokens for eight seconds without the store; if all of them counted as spent, an
-organisation that sends much would be refused for the rest of the day with a tenth
-of its total out of reach.
-
-A router writes down what it has spent several times a second, and spends beyond
-that only as fast as it has said: a part at once, and of the rest little in the first
-seconds after the record was made, all of it after eight.  So a bound on the time
-since then bounds what it spent.
+tokens for eight seconds without the store.  If all of them counted as spent, an
+organisation that sends much would be refused for the rest of the day, with a tenth
+of its total unusable.
+
+A router records what it has spent several times a second.  Beyond the recorded
+amount it spends only as fast as the record allows: a part at any time, little of the
+rest in the first seconds after the record was made, and all of it after eight.  So a
+bound on the time since the record is also a bound on what the router spent.
 """
 
 import math
@@ -18,18 +18,19 @@
 from anvilshift.core.clock import SECOND, Millis
 
 SPREAD_OVER: Millis = 8 * SECOND
-"""Time since a record after which all that it names may be spent: cuts from the store
-last up to that."""
+"""Time since a record after which all tokens that it allows may be spent.  It is the
+longest expected outage of the store."""
 
 
-_CLOCKS_APART: Millis = 500.0
-"""Steady clock and time of day drift apart by less within the seconds of a restart;
-a time of day that was set jumps by seconds."""
+_MAX_CLOCK_DRIFT: Millis = 500.0
+"""Tolerated difference between the steady clock and the time of day.  They drift apart
+by less within the seconds of a restart, while setting the time of day makes it jump by
+seconds."""
 
 
 @dataclass(frozen=True)
 class Spent:
-    """What an ended router spent of a total: no less and no more than this."""
+    """Lower and upper bound on what an ended router spent of a total."""
 
     least: int
     most: int
@@ -37,16 +38,17 @@
 
 @dataclass(frozen=True)
 class Use:
-    """A router's use of one organisation's total.
+    """A router's recorded use of one organisation's total.
 
     Parameters
     ----------
     recorded
         Tokens that it had spent or reserved, or was about to reserve.
     at_once
-        Tokens that it may spend beyond that at any time.
+        Tokens that it may spend beyond `recorded` at any time.
     cushion
-        Tokens that it may spend beyond `recorded` in the end, without another record.
+        Tokens that it may spend beyond `recorded`, without another record, once
+        `SPREAD_OVER` has passed; includes `at_once`.
     """
 
     recorded: int
@@ -54,12 +56,12 @@
     cushion: int
 
     def most_after(self, elapsed: Millis) -> int:
-        """Return the most that may be spent in all after a time.
+        """Return the upper limit on total spending after a time.
 
         Parameters
         ----------
         elapsed
-            Time since this was made for a record.
+            Time since the record was made.
 
         Examples
         --------
@@ -67,13 +69,23 @@
         >>> use.most_after(0.0), use.most_after(4_000.0), use.most_after(60_000.0)
         (120, 140, 200)
         """
-        # The square unlocks a sixteenth in the two seconds that a restart takes, where
-        # a straight line unlocks a quarter; in a cut it catches up with the use later.
-        part = min(1.0, max(0.0, elapsed) / SPREAD_OVER) ** 2
-        return self.recorded + self.at_once + int((self.cushion - self.at_once) * part)
+        # In the two seconds that a restart takes, quadratic growth releases a sixteenth
+        # of the rest, where linear growth releases a quarter.  In a store outage, the
+        # released amount therefore reaches the actual use later.
+        fraction = min(1.0, max(0.0, elapsed) / SPREAD_OVER) ** 2
+        return (
+            self.recorded + self.at_once + int((self.cushion - self.at_once) * fraction)
+        )
 
     def find_wait(self, spent: int, elapsed: Millis) -> Millis | None:
-        """Return how long it takes until so much may be spent; None is never.
+        """Return the time until total spending may reach an amount; None if never.
+
+        Parameters
+        ----------
+        spent
+            The amount, in tokens.
+        elapsed
+            Time since the record was made.
 
         Examples
         --------
@@ -81,32 +93,33 @@
         3000.0
         """
         beyond = spent - self.recorded - self.at_once
-        later = self.cushion - self.at_once
+        delayed = self.cushion - self.at_once
         if beyond <= 0:
             return 0.0
-        if beyond > later:
+        if beyond > delayed:
             return None
-        return max(0.0, math.sqrt(beyond / later) * SPREAD_OVER - elapsed)
+        return max(0.0, math.sqrt(beyond / delayed) * SPREAD_OVER - elapsed)
 
 
 @dataclass(frozen=True)
 class UseRecord:
-    """One router's use of all totals, as it stands in the store.
+    """One router's use of all totals, as stored.
 
     Parameters
     ----------
     holder, ip
-        The incarnation that wrote it, and its host's address.
+        The incarnation that wrote the record, and its host's address.
     anchor, wall
-        When it was made, by the writer's steady clock and by the time of day.
+        When the record was made, by the writer's steady clock and by the time of day.
     boot
-        What names the host's start, empty where that can't be told; the steady clock
-        goes on only within one.
+        Identifier of the host's boot, empty if unknown.  The steady clock is
+        continuous only within one boot.
     spans
-        Bounds on the time since `anchor` with the revisions that prove them: less
-        than that has gone by while the revision can be followed.  Shortest first.
+        Upper bounds on the time since `anchor`, each with the revision that proves
+        it: as long as the store's changes can be followed from the revision, less
+        time than the bound has passed.  Shortest first.
     uses
-        By organisation; one that is missing is not bounded.
+        By organisation.  The spending of one that is missing is not bounded.
     """
 
     holder: str
@@ -120,14 +133,14 @@
     def read_clock(self, boot: str, now: Millis, wall: Millis) -> Millis | None:
         """Return the time since the anchor by the host's own steady clock.
 
-        A steady clock that began anew may by chance show a plausible time; then the
-        time of day has not gone on by as much.
+        A steady clock that restarted may by chance show a plausible time.  Comparing
+        it with the time of day detects that, because the two then disagree.
 
         Returns
         -------
-        Millis
-            None when the host has been started since or can't tell, or when the
-            clocks disagree.
+        Millis or None
+            None when the host has been booted since, when its boot identifier is
+            unknown, or when the clocks disagree.
 
         Examples
         --------
@@ -137,14 +150,23 @@
         >>> record.read_clock("b1", 6_000.0, 95_000.0) is None
         True
         """
-        elapsed, gone = now - self.anchor, wall - self.wall
-        same = boot != "" and boot == self.boot
-        if not same or elapsed < 0 or abs(gone - elapsed) > _CLOCKS_APART:
+        elapsed, wall_elapsed = now - self.anchor, wall - self.wall
+        same_boot = boot != "" and boot == self.boot
+        if (
+            not same_boot
+            or elapsed < 0
+            or abs(wall_elapsed - elapsed) > _MAX_CLOCK_DRIFT
+        ):
             return None
         return elapsed
 
     def bound(self, elapsed: Millis) -> dict[str, Spent]:
-        """Return what was spent, if less than a time has gone by since the anchor.
+        """Return bounds on what was spent, by organisation.
+
+        Parameters
+        ----------
+        elapsed
+            Upper bound on the time since the anchor.
 
         Examples
         --------
