--- a/anvilshift/core/cushions.py
+++ b/anvilshift/core/cushions.py
@@ -160,7 +160,10 @@
         return min([self.ceiling, *limits]) - self.spent
 
     def find_wait(self, tokens: int, now: Millis) -> Millis | None:
-        """Return the time until `tokens` may be reserved without a draw, or None."""
+        """Return the time until so many tokens may be reserved without a draw.
+
+        None means never: the unspent tokens are too few.
+        """
         if tokens > self.ready:
             return None
         spent, longest = self.spent + tokens, 0.0
--- a/tests/core/test_asking.py
+++ b/tests/core/test_asking.py
@@ -4,7 +4,7 @@
 
 
 class TokenHuntTest(unittest.TestCase):
-    def test_the_second_keeper_is_asked_as_soon_as_the_first_one_lacks(self):
+    def test_the_second_keeper_is_asked_once_the_first_lacks_tokens(self):
         hunt = TokenHunt(("r1", "r2"))
         self.assertEqual(hunt.find_next(0.0), "r1")
         hunt.note(Answer(False, 900.0))
@@ -13,25 +13,25 @@
         self.assertTrue(hunt.is_over(8.0))
         self.assertEqual(hunt.find_wait(), 300.0)
 
-    def test_a_lost_datagram_is_sent_once_more(self):
+    def test_a_lost_datagram_is_sent_again_once(self):
         hunt = TokenHunt(("r1",))
         asked = [hunt.find_next(n * ANSWER_WITHIN) for n in range(4)]
         self.assertEqual(asked, ["r1", "r1", None, None])
         self.assertTrue(hunt.is_unanswered(2 * ANSWER_WITHIN))
 
-    def test_an_answer_is_waited_for_before_the_hunt_is_over(self):
+    def test_the_search_is_not_over_before_the_last_answer_is_due(self):
         hunt = TokenHunt(("r1",))
         hunt.find_next(0.0)
         hunt.find_next(ANSWER_WITHIN)
         self.assertFalse(hunt.is_over(1.5 * ANSWER_WITHIN))
 
-    def test_a_keeper_that_is_gone_costs_no_time(self):
+    def test_an_unreachable_keeper_is_skipped_without_delay(self):
         hunt = TokenHunt(("r1", "r2"))
         hunt.find_next(0.0)
         hunt.skip()
         self.assertEqual(hunt.find_next(0.0), "r2")
 
-    def test_exhaustion_is_certain_only_when_all_keepers_say_so(self):
+    def test_exhaustion_is_certain_only_if_all_keepers_report_it(self):
         hunt = TokenHunt(("r1", "r2"))
         hunt.note(Answer(True, 4_000.0))
         self.assertFalse(hunt.is_certain())
@@ -39,7 +39,7 @@
         self.assertTrue(hunt.is_certain())
         self.assertFalse(TokenHunt(()).is_certain())
 
-    def test_a_write_that_was_under_way_does_not_count(self):
+    def test_a_write_already_in_progress_does_not_count(self):
         hunt = TokenHunt((), draws=7, records=3)
         self.assertFalse(hunt.has_drawn(8))
         self.assertTrue(hunt.has_drawn(9))
--- a/tests/core/test_keepers.py
+++ b/tests/core/test_keepers.py
@@ -8,25 +8,25 @@
 
 class KeepersTest(unittest.TestCase):
     def test_few_routers_keep_the_tokens_of_many_organisations(self):
-        """Thirty-two routers each write a share of every total.
+        """If 32 routers wrote shares of every total, nearly all writes would conflict.
 
-        They share one object, so nearly every write meets another router's.
+        All shares are in one object, which changes by conditional update.
         """
         found = {k for name in ORGANISATIONS for k in list_keepers(name, ROUTERS)}
         self.assertEqual(len(found), 4)
 
-    def test_every_router_names_the_same_keepers(self):
+    def test_every_router_computes_the_same_keepers(self):
         for name in ORGANISATIONS:
             shuffled = list_keepers(name, list(reversed(ROUTERS)))
             self.assertEqual(list_keepers(name, ROUTERS), shuffled)
 
-    def test_the_second_keeper_follows_when_the_first_is_gone(self):
+    def test_the_second_keeper_becomes_first_when_the_first_leaves(self):
         for name in ORGANISATIONS:
             first, second = list_keepers(name, ROUTERS[:4])
             left = [one for one in ROUTERS[:4] if one != first]
             self.assertEqual(list_keepers(name, left)[0], second)
 
-    def test_a_router_that_keeps_no_tokens_stays_out_of_it_as_others_go(self):
+    def test_the_keepers_stay_when_another_router_leaves(self):
         kept = {k for name in ORGANISATIONS for k in list_keepers(name, ROUTERS)}
         gone = next(one for one in ROUTERS if one not in kept)
         left = [one for one in ROUTERS if one != gone]
@@ -35,12 +35,12 @@
 
 
 class KeeperMapTest(unittest.TestCase):
-    def test_a_router_alone_keeps_everything(self):
+    def test_a_single_router_is_the_first_keeper_of_everything(self):
         keepers = KeeperMap("r1")
         self.assertEqual(keepers.find_rank("pounds"), 0)
         self.assertEqual(keepers.list_others("pounds"), ())
 
-    def test_ranks_follow_the_routers_that_are_there(self):
+    def test_ranks_are_computed_from_the_live_routers(self):
         maps = [KeeperMap(name) for name in ROUTERS[:3]]
         for one in maps:
             self.assertTrue(one.set_routers(set(ROUTERS[:3])))
--- a/tests/core/test_once.py
+++ b/tests/core/test_once.py
@@ -5,10 +5,10 @@
 
 
 class NumbersTest(unittest.TestCase):
-    def test_no_number_is_ever_taken_twice(self):
-        """A gift of tokens comes again after hundreds of others.
+    def test_no_number_is_accepted_twice(self):
+        """A message that grants tokens arrives again after hundreds of others.
 
-        Taken twice, tokens would be there that nobody gave.
+        If it were accepted twice, the receiver would have tokens that nobody granted.
         """
         rng, numbers = random.Random(4), Numbers()
         sent = [n for n in range(1, 2_000) for _ in range(2)]
@@ -16,12 +16,12 @@
         taken = [n for n in sent if numbers.take(n)]
         self.assertEqual(len(taken), len(set(taken)))
 
-    def test_what_overtakes_a_few_is_taken(self):
+    def test_slightly_reordered_messages_are_accepted(self):
         numbers = Numbers()
         order = [2, 1, 4, 3, 6, 5]
         self.assertTrue(all(numbers.take(n) for n in order))
 
-    def test_what_is_kept_is_bounded(self):
+    def test_the_number_of_stored_numbers_is_bounded(self):
         numbers = Numbers()
         for number in range(1, 5_000):
             numbers.take(number)
--- a/tests/core/test_retention.py
+++ b/tests/core/test_retention.py
@@ -9,15 +9,16 @@
     def test_a_mark_bounds_the_time_since_a_later_instant(self):
         marks = MarkLog(HISTORY)
         marks.add(Mark(followed=2_000.0, revision=5))
-        # Readable at most until 22 s: less than 4 s after an instant at 18 s.
+        # Readable until 22 s at most, which is less than 4 s after 18 s.
         spans = marks.list_spans(anchor=18_000.0, most=8_000.0)
         self.assertEqual(spans, [(4_000.0 + SLACK, Mark(2_000.0, 5))])
 
-    def test_recovered_marks_prove_no_shorter_time_than_they_did(self):
-        """A process ends 2 s after it has listed its marks; the next one starts.
+    def test_recovered_marks_prove_no_shorter_bound_than_before(self):
+        """A process ends 2 s after it has recorded its marks; the next one starts.
 
-        By the first one's clock a revision is readable until 4.15 s after the list.
-        The next one can't tell how long ago that was, and counts from its start.
+        By the first process' clock a revision is readable until 4.15 s after the
+        record.  The next process can't tell how long ago that was, and counts from
+        its own start.
         """
         first, second = MarkLog(HISTORY), MarkLog(HISTORY)
         first.add(Mark(followed=2_000.0, revision=5))
@@ -26,12 +27,12 @@
         (span, mark) = second.list_spans(anchor=100.0, most=8_000.0)[0]
         self.assertEqual((span, mark.revision), (4_000.0 + SLACK, 5))
 
-    def test_marks_that_prove_nothing_of_use_are_left_out(self):
+    def test_marks_that_prove_no_useful_bound_are_omitted(self):
         marks = MarkLog(HISTORY)
         for second in range(21):
             marks.add(Mark(second * 1_000.0, second))
         spans = marks.list_spans(anchor=20_500.0, most=3_000.0)
-        # The first is gone from the history already, the rest bound 3 s and more.
+        # Revision 0 is already discarded; those above 3 prove only more than 3 s.
         self.assertEqual([mark.revision for _, mark in spans], [1, 2, 3])
 
     def test_the_shortest_bound_comes_first(self):
@@ -41,22 +42,22 @@
         spans = marks.list_spans(anchor=18_000.0, most=8_000.0)
         self.assertEqual([mark.revision for _, mark in spans], [4, 9])
 
-    def test_marks_close_together_are_one(self):
+    def test_a_mark_close_to_another_is_not_added(self):
         marks = MarkLog(HISTORY)
         for at in (0.0, 50.0, 79.0, 80.0, 400.0):
             marks.add(Mark(at, int(at)))
         self.assertEqual([m.revision for m in marks.list_marks()], [0, 80, 400])
 
-    def test_what_the_store_has_discarded_is_forgotten(self):
+    def test_marks_of_discarded_history_are_removed(self):
         marks = MarkLog(HISTORY)
         marks.add(Mark(0.0, 1))
         marks.add(Mark(5_000.0, 2))
         marks.expire(now=21_000.0)
         self.assertEqual([m.revision for m in marks.list_marks()], [2])
 
-    def test_long_spans_are_thinned_by_their_own_length(self):
+    def test_long_spans_are_thinned_by_a_fraction_of_their_length(self):
         spans = [(float(at), Mark(0.0, at)) for at in (1_000, 1_100, 1_200, 1_210)]
-        # A fifth of 1,000 is 200: the span of 1,100 says little more.
+        # A fifth of 1,000 is 200, so the span of 1,100 is too close.
         kept = [span for span, _ in thin(spans, 100.0, 0.2)]
         self.assertEqual(kept, [1_000.0, 1_200.0])
 
--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -11,18 +11,18 @@
 
 
 class UseTest(unittest.TestCase):
-    def test_little_may_be_spent_soon_after_an_answer_and_all_in_the_end(self):
+    def test_the_limit_grows_slowly_at_first_up_to_the_cushion(self):
         use = Use(recorded=1_000, at_once=100, cushion=1_000)
         spent = [use.most_after(at) for at in (0.0, 2_000.0, 4_000.0, SPREAD_OVER)]
-        # 100 at once; of the other 900 a sixteenth after a quarter of the time.
+        # 100 at any time; of the other 900, a sixteenth after a quarter of the time.
         self.assertEqual(spent, [1_100, 1_156, 1_325, 2_000])
 
-    def test_nothing_more_comes_after_the_cushion(self):
+    def test_the_limit_never_exceeds_the_cushion(self):
         use = Use(recorded=1_000, at_once=100, cushion=1_000)
         self.assertEqual(use.most_after(3_600_000.0), 2_000)
         self.assertIsNone(use.find_wait(2_001, 0.0))
 
-    def test_the_wait_is_until_as_much_may_be_spent(self):
+    def test_after_the_wait_the_amount_may_be_spent(self):
         use = Use(recorded=1_000, at_once=100, cushion=1_000)
         wait = use.find_wait(1_325, 1_000.0)
         self.assertEqual(wait, 3_000.0)
@@ -33,21 +33,21 @@
 
 
 class ReadClockTest(unittest.TestCase):
-    def test_the_clock_of_one_start_tells_the_time(self):
+    def test_the_clock_of_the_same_boot_gives_the_time(self):
         self.assertEqual(make_record().read_clock("b1", 51_500.0, 91_500.0), 1_500.0)
 
-    def test_a_clock_that_began_anew_tells_nothing(self):
-        """A host loses power; its steady clock starts from somewhere else.
+    def test_a_restarted_clock_proves_nothing(self):
+        """A host loses power, and its steady clock restarts from another value.
 
-        Taken for the old one, it could show that no time has gone by, and the
-        tokens spent in the outage before would be handed out again.
+        If it were taken for the old clock, it could show that no time has passed, and
+        the tokens spent in the store outage before would be granted again.
         """
         record = make_record()
         self.assertIsNone(record.read_clock("b2", 51_500.0, 91_500.0))
         self.assertIsNone(record.read_clock("b1", 49_000.0, 91_500.0))
         self.assertIsNone(record.read_clock("b1", 50_100.0, 99_000.0))
 
-    def test_a_host_that_can_not_name_its_start_proves_nothing(self):
+    def test_an_unknown_boot_identifier_proves_nothing(self):
         record = UseRecord("a.1", "10.0.0.1", 50_000.0, 90_000.0, boot="")
         self.assertIsNone(record.read_clock("", 51_500.0, 91_500.0))
 
