--- a/anvilshift/core/cushions.py
+++ b/anvilshift/core/cushions.py
@@ -156,7 +156,7 @@
 
     def available(self, now: Millis) -> int:
         """Return the tokens that another request may reserve now."""
-        limits = [pace.use.most_after(now - pace.anchor) for pace in self.paces]
+        limits = [pace.use.find_limit(now - pace.anchor) for pace in self.paces]
         return min([self.ceiling, *limits]) - self.spent
 
     def find_wait(self, tokens: int, now: Millis) -> Millis | None:
@@ -184,7 +184,7 @@
             # requests.  If its spending were limited over time, it would ask for the
             # next request's tokens while those left from the last one are unused.
             return Use(recorded, beyond, beyond)
-        rate = self.current_rate(now)
+        rate = self.compute_rate(now)
         extra = max(int(rate * _OUTAGE_USE), int(self.total * _MIN_OUTAGE_USE))
         extra = min(extra, beyond)
         at_once = int(max(0, self.left or 0) * _AT_ONCE_FRACTIONS[self.rank])
@@ -203,7 +203,7 @@
         if self.rated_since is None:
             self.rated_since = now
 
-    def current_rate(self, now: Millis) -> float:
+    def compute_rate(self, now: Millis) -> float:
         """Return the rate of use now, in tokens a millisecond."""
         if self.rated_since is None:
             return 0.0
@@ -226,7 +226,7 @@
         if self.provable:
             return int(left * _KEPT_FRACTIONS[self.rank or 0])
         least = int(self.total * _UNPROVED_MIN / self.keepers)
-        wanted = max(int(self.current_rate(now) * _UNPROVED_COVERAGE), least)
+        wanted = max(int(self.compute_rate(now) * _UNPROVED_COVERAGE), least)
         fraction = min(_UNPROVED_MAX, _UNPROVED_SLOPE * left / max(1, self.total))
         return min(wanted, int(left * fraction / self.keepers))
 
--- a/anvilshift/core/usage.py
+++ b/anvilshift/core/usage.py
@@ -55,7 +55,7 @@
     at_once: int
     cushion: int
 
-    def most_after(self, elapsed: Millis) -> int:
+    def find_limit(self, elapsed: Millis) -> int:
         """Return the upper limit on total spending after a time.
 
         Parameters
@@ -66,7 +66,7 @@
         Examples
         --------
         >>> use = Use(recorded=100, at_once=20, cushion=100)
-        >>> use.most_after(0.0), use.most_after(4_000.0), use.most_after(60_000.0)
+        >>> use.find_limit(0.0), use.find_limit(4_000.0), use.find_limit(60_000.0)
         (120, 140, 200)
         """
         # In the two seconds that a restart takes, quadratic growth releases a sixteenth
@@ -175,6 +175,6 @@
         Spent(least=100, most=140)
         """
         return {
-            name: Spent(use.recorded, use.most_after(elapsed))
+            name: Spent(use.recorded, use.find_limit(elapsed))
             for name, use in self.uses.items()
         }
--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -13,20 +13,20 @@
 class UseTest(unittest.TestCase):
     def test_the_limit_grows_slowly_at_first_up_to_the_cushion(self):
         use = Use(recorded=1_000, at_once=100, cushion=1_000)
-        spent = [use.most_after(at) for at in (0.0, 2_000.0, 4_000.0, SPREAD_OVER)]
+        spent = [use.find_limit(at) for at in (0.0, 2_000.0, 4_000.0, SPREAD_OVER)]
         # 100 at any time; of the other 900, a sixteenth after a quarter of the time.
         self.assertEqual(spent, [1_100, 1_156, 1_325, 2_000])
 
     def test_the_limit_never_exceeds_the_cushion(self):
         use = Use(recorded=1_000, at_once=100, cushion=1_000)
-        self.assertEqual(use.most_after(3_600_000.0), 2_000)
+        self.assertEqual(use.find_limit(3_600_000.0), 2_000)
         self.assertIsNone(use.find_wait(2_001, 0.0))
 
     def test_after_the_wait_the_amount_may_be_spent(self):
         use = Use(recorded=1_000, at_once=100, cushion=1_000)
         wait = use.find_wait(1_325, 1_000.0)
         self.assertEqual(wait, 3_000.0)
-        self.assertEqual(use.most_after(1_000.0 + wait), 1_325)
+        self.assertEqual(use.find_limit(1_000.0 + wait), 1_325)
 
     def test_a_record_bounds_what_was_spent(self):
         self.assertEqual(make_record().bound(2_000.0)[POUNDS], Spent(1_000, 1_156))
