--- a/anvilshift/core/cushions.py
+++ b/anvilshift/core/cushions.py
@@ -16,10 +16,10 @@
 """Duration of use at the measured rate that a cushion covers while no successor could
 prove how little of it was spent."""
 _UNPROVED_MAX, _UNPROVED_SLOPE, _UNPROVED_MIN = 0.35, 0.45, 0.17
-"""Bounds on the sum of all cushions in that case.  It is at most the first fraction of
-the remaining tokens, and at most the second times the remaining fraction of the total
-as a fraction of the remaining tokens.  Within these limits it is at least the third
-fraction of the total.  A cushion counts as spent in full when its router is killed."""
+"""Bounds on the sum of all cushions in that case.  It is at most a fraction of the
+remaining tokens: the first value, or the second value times the part of the total that
+remains, whichever is smaller.  Below this limit it is at least the third value times
+the total.  A cushion counts as spent in full when its router is killed."""
 _KEPT_FRACTIONS = (0.55, 0.3)
 """Fractions of the remaining tokens that the first and the second keeper hold while a
 successor can prove how little was spent.  While the store is unreachable, nothing else
--- a/anvilshift/core/rationing.py
+++ b/anvilshift/core/rationing.py
@@ -3,7 +3,7 @@
 Work is sent to a target that has stated a limit only with a permit.  For each such
 target one router issues the permits for all routers.  A router requests a permit when
 work waits for the target and only the permit is missing.  A permit that isn't used
-immediately expires.
+at once expires.
 """
 
 from dataclasses import dataclass
