--- a/anvilshift/core/account.py
+++ b/anvilshift/core/account.py
@@ -1,6 +1,6 @@
-"""One budget's account: top-ups, grants, what is spent and what is in doubt.
+"""The account of one budget: top-ups, grants, and tokens spent and in doubt.
 
-Every token of an account is in exactly one place:
+Every token of an account is counted in exactly one term:
 
     topped up = spent + held by open grants + in doubt + free
 """
@@ -14,14 +14,14 @@
 from anvilshift.core.errors import check_invariant
 
 KEY_CHARS = 12
-"""Characters that recognise a recorded bill: 72 bits, at which the 37,500 bills
-of 150 s at 250 requests a second collide once in 10^12 requests.  A collision
-leaves one request unbilled and can overspend nothing."""
+"""Characters of the digest that identifies a recorded bill: 72 bits, at which the
+37,500 bills of 150 s at 250 requests per second collide once in 10^12 requests.  A
+collision leaves one request unbilled and cannot cause overspending."""
 TOKEN_CHARS = 4
-"""Characters for a bill's tokens, for who audits the sums: up to 16 million."""
+"""Characters that encode a bill's tokens, up to 16 million, for auditing the sums."""
 MARK_CHARS = KEY_CHARS + TOKEN_CHARS
 SLOT_S = 20
-"""Seconds of bills that are forgotten together."""
+"""Length in seconds of a time slot; the marks of one slot are dropped together."""
 
 
 @dataclass(frozen=True)
@@ -31,16 +31,19 @@
     Parameters
     ----------
     drawn
-        Tokens handed to the holder in all, less those it gave back.
+        Total tokens given to the holder, minus those it returned.
     billed
-        Tokens of its recorded bills.
+        Total tokens of the holder's recorded bills.
     allowance
-        Tokens that the holder may bill before they are recorded.
+        Tokens of bills whose answers the holder may end before the ledger has
+        recorded the bills.
     doubt
-        Tokens of a sealed holder that it may have billed unseen.
+        Tokens that a sealed holder may have billed without recording them.
+    sealed
+        Whether the grant is closed to commits of its holder.
     witness
         Incarnation of the router that must hold a copy of each bill before
-        the holder bills it unrecorded; empty when none is needed.
+        the holder ends the answer unrecorded; empty when no copy is needed.
     """
 
     drawn: int = 0
@@ -56,7 +59,7 @@
         return 0 if self.sealed else self.drawn - self.billed
 
     def seal(self) -> "Grant":
-        """Return the grant closed: the allowance in doubt, the rest let go."""
+        """Return the grant closed: its allowance in doubt, the rest freed."""
         if self.sealed:
             return self
         return replace(self, sealed=True, doubt=min(self.allowance, self.held))
@@ -64,18 +67,20 @@
 
 @dataclass(frozen=True)
 class Bill:
-    """What one request of an organisation cost.
+    """The cost of one request of an organisation.
 
     Parameters
     ----------
     key
-        The request, unique within the account: a digest of organisation and
-        request id.
+        Digest of organisation and request id, unique within the account.
+    holder
+        Holder whose grant the bill is charged to.
     at
-        Wall-clock seconds when it was made, for forgetting old keys.
+        Wall-clock time in seconds at which the bill was made; it decides when
+        the bill's mark is dropped.
     after
-        How many commits its holder had begun when the bill was made; only
-        later ones list it.
+        Number of commits that the holder had begun when the bill was made;
+        only later commits list the bill.
     """
 
     key: str
@@ -88,12 +93,12 @@
 
 @dataclass(frozen=True)
 class Mark:
-    """What is remembered of a recorded bill.
+    """Compact record that identifies a recorded bill.
 
     Parameters
     ----------
     key
-        What `make_mark` makes of the bill's key.
+        Result of `make_mark` for the bill's key.
     """
 
     key: str
@@ -102,7 +107,7 @@
 
 
 class BillState(Enum):
-    """What became of a bill in a commit."""
+    """Result of a commit for one bill."""
 
     RECORDED = "recorded"
     DUPLICATE = "duplicate"
@@ -111,25 +116,27 @@
 
 @dataclass(frozen=True)
 class Draw:
-    """A holder's wish to change its grant of one account.
+    """A holder's request to change its grant of one account.
 
     Parameters
     ----------
     want
-        Tokens that the holder wants to hold after its bills are recorded.  A
-        level and not a difference, so that applying it twice draws once.
+        Tokens that the holder wants to hold after its bills are recorded.  It
+        is an absolute level, not a difference, so that applying the draw twice
+        has the effect of applying it once.
     allowance
-        Allowance of the grant from now on.
+        New allowance of the grant.
     need
-        How much of what it wants requests wait for now; None is all.  The rest
-        is a cushion and is cut to a share of what is free.
+        Part of `want` that current requests reserve or wait for; None means all
+        of it.  The rest is a cushion, limited to a share of the free tokens.
     witness
-        Witness of the grant from now on.
+        New witness of the grant.
     least
-        Level below which more tokens are of no use to any request.
+        Minimum level that lets any waiting request run; a lower level is of no
+        use.
     floor
-        Level to go down to when the least can't be reached; None keeps what
-        is held.
+        Level to reduce the grant to when `least` can't be reached; None keeps
+        the tokens held.
     """
 
     want: int
@@ -146,10 +153,14 @@
 
     Parameters
     ----------
+    topups
+        Tokens of each top-up, by its id.
     recent
-        Marks of recorded bills by the slot of time and the holder.
+        Concatenated marks of recorded bills, by time slot and holder.
+    usage
+        Tokens of recorded bills, by organisation.
     written_off
-        Tokens in doubt of holders that are forgotten; they count as spent.
+        Tokens in doubt of holders that were removed; they count as spent.
     """
 
     topups: Mapping[str, int] = field(default_factory=dict)
@@ -161,7 +172,7 @@
 
     @property
     def total(self) -> int:
-        """Return the tokens topped up."""
+        """Return the sum of all top-ups."""
         return sum(self.topups.values())
 
     @property
@@ -171,7 +182,7 @@
 
     @property
     def doubt(self) -> int:
-        """Return the tokens that lost holders may have billed unseen."""
+        """Return the tokens that lost holders may have billed without a record."""
         return self.written_off + sum(grant.doubt for grant in self.grants.values())
 
     @property
@@ -180,55 +191,58 @@
         return self.total - self.spent - self.held - self.doubt
 
     def check(self) -> "Account":
-        """Return the account, after asserting that nothing is overspent."""
+        """Return the account after checking that it is not overspent."""
         check_invariant(self.spent >= 0, "an account spent a negative amount")
         check_invariant(self.free >= 0, "an account has handed out more than it has")
         return self
 
     def grant(self, holder: str) -> Grant:
-        """Return a holder's grant; one that never drew has nothing."""
+        """Return a holder's grant; empty if the holder never drew."""
         return self.grants.get(holder, Grant())
 
     def with_grant(self, holder: str, grant: Grant) -> "Account":
-        """Return the account with a holder's grant replaced."""
+        """Return the account with the grant of one holder replaced."""
         return replace(self, grants={**self.grants, holder: grant}).check()
 
     def without_grants(self, holders: set[str]) -> "Account":
-        """Return the account without the grants of some holders."""
+        """Return the account without the grants of the given holders."""
         kept = {name: g for name, g in self.grants.items() if name not in holders}
         return replace(self, grants=kept).check()
 
     def find(self, bill: Bill) -> BillState | None:
-        """Return what is known of a bill: recorded by its holder or another."""
+        """Return RECORDED or DUPLICATE for a recorded bill; None if it has no mark.
+
+        DUPLICATE means that another holder recorded the bill.
+        """
         mark = make_mark(bill.key)
         for by_holder in self.recent.values():
             for holder, marks in by_holder.items():
                 if _has_mark(marks, mark):
-                    # A commit whose answer was lost is applied again: the
-                    # holder's own bill is no duplicate of another router's.
-                    mine = holder == bill.holder
-                    return BillState.RECORDED if mine else BillState.DUPLICATE
+                    # A holder repeats a commit whose response was lost, so its
+                    # own recorded bill is not a duplicate.
+                    own = holder == bill.holder
+                    return BillState.RECORDED if own else BillState.DUPLICATE
         return None
 
     def record(self, bill: Bill) -> tuple["Account", BillState]:
         """Return the account with a bill of an open grant recorded.
 
-        What the grant lacks is drawn in the same step: a holder that was
-        sealed has answers to bill that its new grant doesn't cover yet.
+        Tokens that the grant lacks are drawn in the same step: the successor of
+        a sealed holder takes over bills that its new grant doesn't cover yet.
         """
         known = self.find(bill)
         if known is not None:
             return self, known
         grant = self.grant(bill.holder)
-        lacking = max(0, bill.tokens - grant.held)
-        if grant.sealed or lacking > self.free:
+        shortfall = max(0, bill.tokens - grant.held)
+        if grant.sealed or shortfall > self.free:
             return self, BillState.REFUSED
-        drawn, billed = grant.drawn + lacking, grant.billed + bill.tokens
+        drawn, billed = grant.drawn + shortfall, grant.billed + bill.tokens
         grant = replace(grant, drawn=drawn, billed=billed)
-        return self._add(bill, grant), BillState.RECORDED
+        return self._add_bill(bill, grant), BillState.RECORDED
 
     def record_late(self, bill: Bill) -> tuple["Account", BillState]:
-        """Return the account with a bill of a sealed grant recorded."""
+        """Return the account with a bill recorded from a sealed grant's doubt."""
         known = self.find(bill)
         if known is not None:
             return self, known
@@ -237,25 +251,25 @@
             return self, BillState.REFUSED
         doubt, billed = grant.doubt - bill.tokens, grant.billed + bill.tokens
         grant = replace(grant, doubt=doubt, billed=billed)
-        return self._add(bill, grant), BillState.RECORDED
+        return self._add_bill(bill, grant), BillState.RECORDED
 
     def list_marks(self) -> Iterator["Mark"]:
-        """Yield what is remembered of recorded bills."""
+        """Yield the marks of the recorded bills."""
         for by_holder in self.recent.values():
             for holder, marks in by_holder.items():
-                for at in range(0, len(marks), MARK_CHARS):
-                    key = marks[at : at + KEY_CHARS]
-                    tokens = marks[at + KEY_CHARS : at + MARK_CHARS]
-                    count = int.from_bytes(base64.urlsafe_b64decode(tokens))
-                    yield Mark(key, holder, count)
+                for start in range(0, len(marks), MARK_CHARS):
+                    key = marks[start : start + KEY_CHARS]
+                    encoded = marks[start + KEY_CHARS : start + MARK_CHARS]
+                    tokens = int.from_bytes(base64.urlsafe_b64decode(encoded))
+                    yield Mark(key, holder, tokens)
 
-    def _add(self, bill: Bill, grant: Grant) -> "Account":
+    def _add_bill(self, bill: Bill, grant: Grant) -> "Account":
         usage = dict(self.usage)
         usage[bill.organisation] = usage.get(bill.organisation, 0) + bill.tokens
         slot = str(bill.at // SLOT_S)
         by_holder = dict(self.recent.get(slot, {}))
         marks = by_holder.get(bill.holder, "") + make_mark(bill.key)
-        marks += _write_tokens(bill.tokens)
+        marks += _encode_tokens(bill.tokens)
         by_holder[bill.holder] = marks
         return replace(
             self,
@@ -266,10 +280,10 @@
         ).check()
 
     def draw(self, holder: str, draw: Draw) -> "Account":
-        """Return the account with a holder's grant changed as it wishes.
+        """Return the account with a holder's grant changed as requested.
 
-        The cushion is cut to an equal share of what is free, so that the last
-        tokens of a budget stay within reach of every router.
+        The cushion is limited to an equal share of the free tokens, so that
+        every router can still draw from the last tokens of a budget.
         """
         grant = self.grant(holder)
         change = draw.want - grant.held
@@ -291,24 +305,26 @@
         return self.with_grant(holder, grant)
 
     def forget(self, before: int) -> "Account":
-        """Return the account without the marks of bills before an instant."""
+        """Return the account without the marks of slots before a time."""
         oldest = before // SLOT_S
-        kept = {slot: m for slot, m in self.recent.items() if int(slot) >= oldest}
+        kept = {
+            slot: marks for slot, marks in self.recent.items() if int(slot) >= oldest
+        }
         return replace(self, recent=kept) if len(kept) < len(self.recent) else self
 
     @property
     def marks(self) -> int:
-        """Return the characters that recorded bills take."""
-        return sum(len(m) for by in self.recent.values() for m in by.values())
+        """Return the total length in characters of the stored marks."""
+        return sum(len(m) for slot in self.recent.values() for m in slot.values())
 
 
-def _write_tokens(tokens: int) -> str:
-    most = min(tokens, 2 ** (6 * TOKEN_CHARS) - 1)
-    return base64.urlsafe_b64encode(most.to_bytes(3)).decode()
+def _encode_tokens(tokens: int) -> str:
+    capped = min(tokens, 2 ** (6 * TOKEN_CHARS) - 1)
+    return base64.urlsafe_b64encode(capped.to_bytes(3)).decode()
 
 
 def make_mark(key: str) -> str:
-    """Return the short mark by which a recorded bill is recognised.
+    """Return the short digest that identifies a recorded bill.
 
     Examples
     --------
@@ -320,7 +336,7 @@
 
 
 def _has_mark(marks: str, mark: str) -> bool:
-    at = marks.find(mark)
-    while at >= 0 and at % MARK_CHARS:
-        at = marks.find(mark, at + 1)
-    return at >= 0
+    start = marks.find(mark)
+    while start >= 0 and start % MARK_CHARS:
+        start = marks.find(mark, start + 1)
+    return start >= 0
--- a/anvilshift/core/copies.py
+++ b/anvilshift/core/copies.py
@@ -1,10 +1,10 @@
 """Copies of other routers' unrecorded bills, kept in memory.
 
-A router that is some holder's *witness* must have a copy of each bill before
-the holder ends the answer unrecorded.  When the holder is lost, the witness
-closes it: it takes no more copies, so those it has are all that there are, and
-what else was in doubt is free again.  The order of the two at the witness
-decides, and no clock.
+A holder's *witness* is a router that must have a copy of each bill before the
+holder ends the answer without recording the bill.  When the holder is lost, the
+witness closes it: it accepts no more copies, so its copies are complete and the rest
+of the doubt is freed.  Whether a copy arrives before or after the closing is decided
+at the witness alone and depends on no clock.
 """
 
 from collections.abc import Collection
@@ -13,11 +13,11 @@
 from anvilshift.core.ledger import Ledger
 
 MAX_COPIES = 10_000
-"""Most copies of one holder: 200 s of 50 answers a second, some 3 MB."""
+"""Maximum copies for one holder: 200 s at 50 answers per second, about 3 MB."""
 
 
 class Copies:
-    """The copies that one router keeps.
+    """Copies of bills that one router keeps for other holders.
 
     Parameters
     ----------
@@ -43,20 +43,22 @@
         self._stopped = False
 
     def stop(self) -> None:
-        """Take no more copies of anybody: this router is about to end."""
+        """Accept no more copies, because this router is about to end."""
         self._stopped = True
 
     def list_holders(self) -> list[str]:
-        """Return the holders of whose bills there are copies."""
+        """Return the holders for which copies are kept."""
         return [holder for holder, kept in self._bills.items() if kept]
 
     def add(
         self, holder: str, bills: tuple[tuple[str, Bill], ...], witness: str = ""
     ) -> bool:
-        """Keep copies; False when this isn't the witness, has closed or is to end.
+        """Store copies of bills; return False if none of them was accepted.
 
-        A router that was restarted has another incarnation and none of the
-        earlier copies; taken for the witness, it would close with too few.
+        Copies are rejected after `stop`, after the holder was closed, when the
+        holder would exceed `MAX_COPIES`, and when the holder's witness is another
+        incarnation.  A restarted router has a new incarnation and none of the earlier
+        copies; if it acted as the witness, it would close with an incomplete list.
         """
         if self._stopped or holder in self._closed:
             return False
@@ -74,16 +76,16 @@
         return tuple((account, bill) for (account, _), bill in kept.items())
 
     def close(self, holder: str) -> tuple[tuple[str, Bill], ...]:
-        """Take no more copies of a holder for good; return those there are."""
+        """Permanently accept no more copies of a holder; return those kept."""
         self._closed.add(holder)
         return self.list(holder)
 
     def keep_only(self, holders: Collection[str]) -> None:
-        """Forget the copies of holders that no ledger knows any more."""
+        """Drop the copies of all holders but the given ones."""
         self._bills = {h: kept for h, kept in self._bills.items() if h in holders}
 
     def drop_recorded(self, ledger: Ledger) -> None:
-        """Forget the copies of bills that a ledger has recorded."""
+        """Drop the copies of bills that a ledger has recorded."""
         for holder, kept in list(self._bills.items()):
             for (account, key), bill in list(kept.items()):
                 if ledger.account(account).find(bill) is not None:
--- a/anvilshift/core/escrow.py
+++ b/anvilshift/core/escrow.py
@@ -1,8 +1,8 @@
-"""A holder's side of its grants: reserve, bill, refill, give back.
+"""Local accounting of a holder's grants: reserve, bill, refill and return tokens.
 
-The escrow answers the request path without a call to the platform.  A request
-reserves the most it can cost; when it ends, its bill waits to be recorded and
-the difference is free at once.
+The escrow serves the request path without a call to the platform.  A request
+reserves the maximum that it can cost; when it ends, its bill is pending until it is
+recorded, and the unused part of the reservation is available at once.
 """
 
 from collections.abc import Mapping
@@ -15,7 +15,7 @@
 from anvilshift.core.purse import Purse
 
 Bills = tuple[tuple[str, Bill], ...]
-"""Bills with the accounts that they belong to."""
+"""Pairs of account name and bill."""
 
 
 class Escrow:
@@ -45,41 +45,41 @@
         self.purses: dict[str, Purse] = {}
 
     def open(self, account: str, allowance: int, level: int) -> None:
-        """Begin to hold tokens of an account, or change its figures."""
+        """Start to hold tokens of an account, or change its allowance and level."""
         purse = self.purses.setdefault(account, Purse(account, allowance, level))
         purse.allowance = allowance
         purse.level = level
         purse.witness = self.witness
 
     def choose_witness(self, witness: str) -> None:
-        """Name the router that is to keep copies, from the next commit on."""
+        """Set the router that keeps copies of bills, effective with the next commit."""
         self.witness = witness
         for purse in self.purses.values():
             purse.witness = witness
 
     def reserve(self, account: str, key: str, tokens: int, now: Millis = 0.0) -> bool:
-        """Set tokens aside for a request; False when too few are held."""
+        """Reserve tokens for a request; return False if too few are available."""
         return self.purses[account].reserve(key, tokens, now)
 
     def release(self, account: str, key: str) -> None:
-        """Give up a reservation of a request that costs nothing."""
+        """Cancel the reservation of a request that costs nothing."""
         purse = self.purses[account]
         purse.reserved.pop(key, None)
         purse.waiting.pop(key, None)
         purse.carried.discard(key)
 
     def bill(self, account: str, bill: Bill) -> None:
-        """Turn a reservation into a bill that waits to be recorded."""
+        """Replace a reservation by a bill that is pending until it is recorded."""
         self.purses[account].bill(replace(bill, after=self.begun))
 
     def release_early(self, account: str, key: str) -> bool:
-        """Tell whether an answer may end before its bill is recorded.
+        """Tell whether an answer may end before its bill is recorded; if so, mark it.
 
-        Only within the allowance, which the ledger has counted beforehand: if
-        this holder is lost now, sealing it leaves these tokens in doubt and
-        hands them to nobody.
+        This is limited to the allowance, which the ledger has recorded in advance:
+        if this holder is lost, sealing it leaves these tokens in doubt, and no
+        other holder can draw them.
         """
-        return self.purses[account].expose(key)
+        return self.purses[account].mark_released(key)
 
     def wants_commit(self, now: Millis = 0.0) -> bool:
         """Tell whether there is a bill to record or a grant to change."""
@@ -89,7 +89,7 @@
         )
 
     def begin_commit(self, now: Millis = 0.0) -> Commit:
-        """Return the commit that records what is pending and changes grants."""
+        """Return the commit that records all pending bills and changes grants."""
         draws = {
             name: purse.draw(now)
             for name, purse in self.purses.items()
@@ -113,7 +113,7 @@
     def finish_commit(
         self, commit: Commit, outcome: Outcome, now: Millis = 0.0
     ) -> Mapping[BillKey, BillState]:
-        """Take in what a commit did; return what became of its bills."""
+        """Apply the outcome of a commit; return the states of its bills."""
         self.joined = True
         for name, bill in commit.bills:
             if (name, bill.key) in outcome.bills:
@@ -131,8 +131,8 @@
 
     def _drop_bill(self, name: str, key: str, state: BillState) -> None:
         purse = self.purses[name]
-        # The ledger counted the allowance beforehand, so it can't refuse what
-        # was released within it; if it does, the figures are wrong.
+        # The ledger recorded the allowance in advance, so it can't refuse a bill
+        # released within it.  If it does, the account is inconsistent.
         if state is BillState.REFUSED and key in purse.released:
             purse.frozen = True
         purse.pending.pop(key, None)
@@ -141,7 +141,7 @@
     def give_back(
         self, account: str | None = None, now: Millis = 0.0, closing: bool = False
     ) -> Commit:
-        """Return the commit that hands back what no request needs, of one or all."""
+        """Return the commit that returns unreserved tokens of one or all accounts."""
         draws = {}
         for name, purse in self.purses.items():
             if account in (None, name) and not purse.frozen:
@@ -151,14 +151,14 @@
         return self._make_commit(draws, closing)
 
     def close(self) -> Commit:
-        """Return the commit that records what is pending and ends the holder."""
+        """Return the commit that records all pending bills and ends the holder."""
         for purse in self.purses.values():
             purse.reserved.clear()
             purse.waiting.clear()
         return self.give_back(closing=True)
 
     def list_frozen(self) -> set[str]:
-        """Return the accounts whose budget is frozen."""
+        """Return the names of the frozen accounts."""
         return {name for name, purse in self.purses.items() if purse.frozen}
 
     def list_released(self) -> Bills:
@@ -170,38 +170,38 @@
         )
 
     def drop_judged(self, states: Mapping[BillKey, BillState]) -> None:
-        """Forget the bills that a commit had recorded before the sealing."""
+        """Drop the bills whose state the ledger knew when the holder was sealed."""
         for (name, key), state in states.items():
             self._drop_bill(name, key, state)
 
     def adopt(self, states: Mapping[BillKey, BillState], bills: Bills) -> None:
-        """Carry over the bills that were refused when handed in.
+        """Take over bills that were refused when submitted for a sealed holder.
 
-        The witness had closed before it got a copy: the answer hasn't ended,
-        and its bill is drawn for anew.
+        The witness had closed before it received their copies, so their answers
+        haven't ended, and tokens for them are drawn again.
         """
         for name, bill in bills:
             if states.get((name, bill.key)) is BillState.REFUSED:
                 purse = self.purses[name]
-                heirs = replace(bill, holder=self.holder, after=self.begun)
-                purse.pending.setdefault(bill.key, heirs)
-                # The bill may take tokens that back other requests here, so
-                # those are as uncertain until the grant covers all again.
+                adopted = replace(bill, holder=self.holder, after=self.begun)
+                purse.pending.setdefault(bill.key, adopted)
+                # The bill may use tokens that cover other reservations here, so
+                # these count as carried too until the grant covers everything.
                 purse.carried = set(purse.reserved) | set(purse.pending)
 
     def succeed(self, holder: str) -> "Escrow":
-        """Return the escrow of the holder that follows this one, now sealed.
+        """Return the escrow of the holder that replaces this sealed one.
 
-        Work in flight goes on: its reservations and its unreleased bills are
-        carried over.  The tokens behind them may be another router's by now,
-        so the ledger draws what they need anew, or refuses the bill.
+        Requests in flight continue: their reservations and their unreleased bills
+        are carried over.  Another router may hold the tokens for them by now, so
+        the ledger draws the tokens they need again, or refuses the bill.
         """
-        heir = Escrow(holder)
-        heir.witness = self.witness
+        successor = Escrow(holder)
+        successor.witness = self.witness
         for name, purse in self.purses.items():
-            heir.open(name, purse.allowance, purse.level)
-            new = heir.purses[name]
-            new.use, new.used_at = purse.use, purse.used_at
+            successor.open(name, purse.allowance, purse.level)
+            new = successor.purses[name]
+            new.recent_use, new.used_at = purse.recent_use, purse.used_at
             new.frozen = purse.frozen
             new.reserved = dict(purse.reserved)
             new.waiting = dict(purse.waiting)
@@ -209,4 +209,4 @@
                 if key not in purse.released:
                     new.pending[key] = replace(bill, holder=holder, after=0)
             new.carried = set(new.reserved) | set(new.pending)
-        return heir
+        return successor
--- a/anvilshift/core/exposure.py
+++ b/anvilshift/core/exposure.py
@@ -1,14 +1,15 @@
-"""Bound how many targets one content may reach before it was answered whole.
-
-Load pattern: a request crashes each target that runs it.  Evidence of that
-comes late, is shared with innocent neighbours and is lost with routers, so any
-rule that waits for proof lets some order of events cost one more target.
-
-Here nothing is proved.  A content has a credit of targets, and each target is
-charged to it before it is sent there.  What never ran is refunded, a whole
-answer clears the content, and all else stays charged.  A content whose credit
-is used up runs only where it was already: it may cost these targets again, but
-no other.
+"""Limit the targets that a content may reach before it was answered completely.
+
+Load pattern: a request crashes each target that runs it.  Evidence of the cause
+arrives late, also applies to harmless requests that ran at the same time, and is lost
+when routers fail.  Therefore any rule that waits for proof loses one more target under
+some order of events.
+
+This module requires no proof.  Each content has a limit on its number of targets, and
+a target is charged to the content before the content is sent there.  The charge is
+refunded if the content never ran there, a complete answer clears all charges, and all
+other charges remain.  A content that has reached its limit runs only on targets that
+are already charged to it: it may crash these again, but no others.
 """
 
 from collections import Counter, OrderedDict
@@ -17,22 +18,25 @@
 from anvilshift.core.clock import SECOND, Millis
 
 TARGETS = 2
-"""Targets that one content may cost, by the users' law."""
+"""Maximum targets that one content may make fail; the users require this limit."""
 FORGET_AFTER: Millis = 600 * SECOND
-"""Longer than callers' retries of one request are apart."""
-_MOST_RECORDS = 10_000
+"""Charges expire after this time, which is longer than the interval between callers'
+retries of one request."""
+_MAX_RECORDS = 10_000
 
 
 @dataclass
 class _Charges:
-    """The targets that one content reached.
+    """Targets charged to one content.
 
     Parameters
     ----------
+    at
+        Time of the latest charge.
     running
-        Attempts under way at each target.
+        Number of attempts in progress on each target.
     kept
-        Targets at which an attempt ended, and it is not known harmless there.
+        Targets that stay charged after the attempt there ended or crashed.
     """
 
     at: Millis
@@ -41,12 +45,12 @@
 
 
 class Exposure:
-    """Which targets each content has reached without a whole answer.
+    """Tracks the targets that each content reached without a complete answer.
 
     Parameters
     ----------
-    most
-        Targets that one content may cost.
+    max_targets
+        Maximum targets that may be charged to one content.
 
     Examples
     --------
@@ -61,23 +65,23 @@
     True
     """
 
-    def __init__(self, most: int = TARGETS) -> None:
-        self._most = most
+    def __init__(self, max_targets: int = TARGETS) -> None:
+        self._max_targets = max_targets
         self._charges: OrderedDict[str, _Charges] = OrderedDict()
         self._harmless: OrderedDict[str, None] = OrderedDict()
 
     def charge(self, content: str, target: str, now: Millis) -> None:
-        """Charge a target to a content that is about to be sent there."""
+        """Charge a target to the content that is about to be sent there."""
         if content:
-            self._record(content, now).running[target] += 1
+            self._update_charges(content, now).running[target] += 1
 
     def end(self, content: str, target: str, ran: bool) -> None:
-        """Take in that an attempt ended without a whole answer.
+        """Record that an attempt ended without a complete answer.
 
         Parameters
         ----------
         ran
-            Whether it may have run; what never ran is refunded.
+            Whether the attempt may have run; otherwise its charge is refunded.
         """
         charges = self._charges.get(content)
         if charges is None:
@@ -91,46 +95,52 @@
             del self._charges[content]
 
     def keep_running(self) -> None:
-        """Keep each target charged where an attempt is under way now."""
+        """Make the charges of all attempts in progress permanent until cleared."""
         for charges in self._charges.values():
             charges.kept |= set(charges.running)
 
     def crashed(self, content: str, target: str, now: Millis) -> None:
-        """Take in that a target crashed while it ran a content."""
+        """Record that a target crashed while it ran a content."""
         if content:
             self._harmless.pop(content, None)
-            self._record(content, now).kept.add(target)
+            self._update_charges(content, now).kept.add(target)
 
     def clear(self, content: str) -> None:
-        """Take in that a content was answered whole: it does no harm."""
+        """Record that a content was answered completely and is therefore harmless."""
         charges = self._charges.get(content)
         if charges is not None:
             self._drop_kept(content, charges)
         if content:
             self._harmless[content] = None
             self._harmless.move_to_end(content)
-            if len(self._harmless) > _MOST_RECORDS:
+            if len(self._harmless) > _MAX_RECORDS:
                 self._harmless.popitem(last=False)
 
     def expire(self, content: str, now: Millis) -> None:
-        """Forget a content that was not sent for some time."""
+        """Drop the charges of a content not charged within `FORGET_AFTER`."""
         charges = self._charges.get(content)
         if charges is not None and now - charges.at > FORGET_AFTER:
             self._drop_kept(content, charges)
 
     def list_reached(self, content: str) -> list[str]:
-        """Return the targets charged to a content that is not known harmless."""
+        """Return the targets charged to a content; none if it is harmless."""
         charges = self._charges.get(content)
         if charges is None or content in self._harmless:
             return []
         return sorted(charges.kept | set(charges.running))
 
     def is_harmless(self, content: str) -> bool:
-        """Tell whether a content was answered whole and has crashed nothing since."""
+        """Tell whether a content was answered and has crashed no target since."""
         return content in self._harmless
 
     def list_kept(self, most: int) -> list[tuple[str, str]]:
-        """Return the newest contents with each target that stays charged."""
+        """Return pairs of content and charged target, for the newest contents.
+
+        Parameters
+        ----------
+        most
+            Maximum number of contents.
+        """
         return [
             (content, target)
             for content, charges in list(self._charges.items())[-most:]
@@ -138,9 +148,9 @@
         ]
 
     def list_confined(self, content: str) -> list[str]:
-        """Return the only targets that a content may reach; empty for any."""
+        """Return the only targets that a content may reach; empty if not limited."""
         reached = self.list_reached(content)
-        return reached if len(reached) >= self._most else []
+        return reached if len(reached) >= self._max_targets else []
 
     def may_reach(self, content: str, target: str) -> bool:
         """Tell whether a content may be sent to a target."""
@@ -152,10 +162,10 @@
         if not charges.running:
             del self._charges[content]
 
-    def _record(self, content: str, now: Millis) -> _Charges:
+    def _update_charges(self, content: str, now: Millis) -> _Charges:
         charges = self._charges.setdefault(content, _Charges(now))
         charges.at = now
         self._charges.move_to_end(content)
-        if len(self._charges) > _MOST_RECORDS:
+        if len(self._charges) > _MAX_RECORDS:
             self._charges.popitem(last=False)
         return charges
--- a/anvilshift/core/lease.py
+++ b/anvilshift/core/lease.py
@@ -1,28 +1,32 @@
-"""A router's lease: whether it may take new work, by its own clock.
+"""A router's lease, which decides by its own clock whether it may take new work.
 
-A router renews its record in the platform.  Others may remove it once its
-lease has lapsed, and then a declaration can be accepted without it.  So it
-stops by its own clock when the lease lapses, unless the platform is out for
-the whole fleet: then nothing can be accepted and serving on is safe.
+A router renews its record on the platform.  Once its lease has expired, other routers
+may remove the record, and then a declaration can be accepted without this router.
+Therefore it stops when the lease expires by its own clock, unless the platform is
+unreachable for the whole fleet: then no declaration can be accepted, and continuing
+to serve is safe.
 """
 
 from anvilshift.core.clock import Millis
 from anvilshift.core.membership import Roster
 
-_SLOW_SHARE = 8
-"""A renewal that takes longer than this part of the lease counts as failed for
-the others, so that in an outage all know of it before the first lease lapses:
-renewals are a quarter of the lease apart, heartbeats at most a quarter."""
-_GAP_SHARE = 2
+_SLOW_DIVISOR = 8
+"""A renewal that takes longer than the lease divided by this number is reported to the
+other routers as failed, so that in an outage all routers know of it before the first
+lease expires: renewals are a quarter of the lease apart, heartbeats at most a
+quarter."""
+_PAUSE_DIVISOR = 2
+"""A gap between heartbeats longer than the lease divided by this number counts as a
+pause of the process."""
 
 
 class Lease:
-    """When the record was renewed, and what follows from it.
+    """Tracks renewals of a router's record and whether the lease is valid.
 
     Parameters
     ----------
     span
-        Milliseconds for which a renewal holds.
+        Milliseconds for which a renewal is valid.
 
     Examples
     --------
@@ -35,37 +39,37 @@
 
     def __init__(self, span: Millis) -> None:
         self.span = span
-        self._renewed: Millis | None = None
-        self._begun: Millis | None = None
+        self._renewed_at: Millis | None = None
+        self._renewal_begun: Millis | None = None
         self._renewing_since: Millis | None = None
-        self._checked: Millis | None = None
+        self._checked_at: Millis | None = None
         self._stopped = False
 
     def begin(self, now: Millis) -> None:
-        """Take in that a renewal is sent."""
-        self._begun = now
+        """Record that a renewal is sent."""
+        self._renewal_begun = now
 
     def succeed(self, now: Millis) -> None:
-        """Take in that the renewal took effect."""
-        begun = now if self._begun is None else self._begun
+        """Record that the renewal took effect."""
+        sent_at = now if self._renewal_begun is None else self._renewal_begun
         if self._renewing_since is None or self._is_slow(now):
             self._renewing_since = now
-        # Counted from before the call: the others may have seen it then.
-        self._renewed = begun
-        self._begun = None
+        # The span starts at sending, as others may have seen the renewal since then.
+        self._renewed_at = sent_at
+        self._renewal_begun = None
         self._stopped = False
 
     def fail(self) -> None:
-        """Take in that the renewal failed."""
-        self._begun = None
+        """Record that the renewal failed."""
+        self._renewal_begun = None
         self._renewing_since = None
 
     def holds(self, now: Millis) -> bool:
-        """Tell whether the last renewal still holds."""
-        return self._renewed is not None and now - self._renewed <= self.span
+        """Tell whether the last renewal is still valid."""
+        return self._renewed_at is not None and now - self._renewed_at <= self.span
 
     def renewing_for(self, now: Millis) -> Millis:
-        """Return for how long every renewal succeeded promptly; 0 if one did not."""
+        """Return for how long all renewals were prompt; 0 if the last one was not."""
         if self._is_slow(now):
             self._renewing_since = None
         if self._renewing_since is None:
@@ -75,24 +79,29 @@
     def may_serve(self, roster: Roster, seen: int, now: Millis) -> bool:
         """Tell whether the router may take new work.
 
-        It must be called at every heartbeat.  A router that stopped stays
-        stopped until its next renewal: what it heard in between does not tell
-        whether it was removed in the meantime.
+        It must be called at every heartbeat.  A router that stopped stays stopped
+        until its next successful renewal, because the heartbeats it received in
+        between do not show whether its record was removed.
 
         Parameters
         ----------
+        roster
+            Other routers, as known from their records and heartbeats.
         seen
-            Revision up to which the router knows the others' records.
+            Revision up to which this router knows the other routers' records.
         """
-        since, self._checked = self._checked, now
+        last_checked, self._checked_at = self._checked_at, now
         if self.holds(now):
             return True
-        # After a pause of the process, heartbeats that waited in its sockets
-        # arrive as if they were new; they say nothing of the present.
-        paused = since is None or now - since > self.span / _GAP_SHARE
-        if self._renewed is None or paused or not roster.is_platform_out(seen, now):
+        # After a pause of the process, heartbeats queued in its sockets arrive as
+        # if they were new, but don't show the current state of their senders.
+        paused = last_checked is None or now - last_checked > self.span / _PAUSE_DIVISOR
+        if self._renewed_at is None or paused or not roster.is_platform_out(seen, now):
             self._stopped = True
         return not self._stopped
 
     def _is_slow(self, now: Millis) -> bool:
-        return self._begun is not None and now - self._begun > self.span / _SLOW_SHARE
+        return (
+            self._renewal_begun is not None
+            and now - self._renewal_begun > self.span / _SLOW_DIVISOR
+        )
--- a/anvilshift/core/ledger.py
+++ b/anvilshift/core/ledger.py
@@ -1,15 +1,15 @@
-"""The ledger: what the platform keeps of budgets, grants and bills.
+"""The ledger: budgets, grants and bills as the platform stores them.
 
-One ledger object holds many accounts and changes by conditional update only.
+One ledger object contains many accounts and changes only by conditional update.
 
 A *holder* is one incarnation of a router.  It spends from its grant locally
-and records its bills here in groups.  Whoever finds a holder lost *seals* it:
-from then on the holder's own commits fail, so nothing depends on clocks.  What
-the holder may have billed unseen, its allowance, stays in doubt; the rest of
-its grant is free again in the same update.
+and records its bills in the ledger in groups.  A router that finds a holder
+lost *seals* it: all later commits of the holder fail, so safety depends on no
+clock.  The holder's allowance, which it may have billed without recording it,
+stays in doubt; the rest of its grant becomes free in the same update.
 
-Every operation here may be applied again without effect, because an answer of
-the platform can be lost after the write took effect.
+Every operation is idempotent, because the response of the platform can be lost
+after the write took effect.
 """
 
 from collections.abc import Mapping
@@ -37,8 +37,9 @@
 ]
 
 MAX_MARKS = 600_000
-"""Characters of bill marks in one ledger, well under the megabyte that the
-platform holds: a ledger too large to write would stop every budget in it."""
+"""Maximum characters of bill marks in one ledger, well below the platform's limit
+of one megabyte per value: a ledger too large to write would block every budget in
+it."""
 
 _REFUSED = BillState.REFUSED
 
@@ -48,23 +49,24 @@
 
 @dataclass(frozen=True)
 class Holder:
-    """What the ledger knows of a holder.
+    """The ledger's entry for a holder.
 
     Parameters
     ----------
     sealed_at
-        Wall-clock second at which it was sealed; 0 while it is open.
+        Wall-clock time in seconds at which it was sealed; 0 while it is open.
     last
-        Number of its newest commit.  Every commit lists every bill that waits,
-        so a bill made before that commit began is judged, even when its mark
-        is forgotten: a router cut off for longer than marks are kept would
-        bill again what it had recorded by a commit whose answer was lost.
+        Number of its newest commit.  Every commit lists all pending bills, so
+        the state of a bill made before that commit began is decided, even when
+        its mark has been dropped.  Without this, a router cut off for longer
+        than marks are kept would bill again what it had recorded by a commit
+        whose response was lost.
     refused
         Keys of the bills that its newest commit refused.
     late
-        Marks of the bills handed in after it was sealed.  They are kept as
-        long as the holder: whoever has copies may hand them in again after an
-        outage longer than other marks are kept.
+        Marks of the bills submitted after it was sealed.  They are kept as long
+        as the entry: a router with copies may submit them again after an outage
+        that outlasts the other marks.
     """
 
     sealed_at: int = 0
@@ -72,8 +74,8 @@
     refused: tuple[str, ...] = ()
     late: tuple[str, ...] = ()
 
-    def judge(self, bill: Bill) -> BillState | None:
-        """Return what became of a bill in an earlier commit; None is unknown."""
+    def find_state(self, bill: Bill) -> BillState | None:
+        """Return the state of a bill from earlier commits; None if unknown."""
         if make_mark(bill.key) in self.late:
             return BillState.RECORDED
         if bill.after >= self.last:
@@ -83,18 +85,22 @@
 
 @dataclass(frozen=True)
 class Commit:
-    """One group of bills and draws of one holder.
+    """A group of bills and draws that one holder submits together.
 
     Parameters
     ----------
-    number
-        How many commits the holder has begun, this one included.
+    bills
+        Pairs of account name and bill.
+    draws
+        Requested change of the grant, by account.
     joined
-        Whether the holder knows that an earlier commit of its took effect.  A
-        holder that has joined and isn't in the ledger was sealed and
-        forgotten; one that hasn't may be new.
+        Whether the holder knows that one of its earlier commits took effect.
+        If so and the ledger has no entry for it, the holder was sealed and then
+        removed; otherwise it may be new.
     closing
-        Whether the holder gives everything back and ends.
+        Whether the holder returns all its tokens and ends.
+    number
+        Number of commits that the holder has begun, including this one.
     """
 
     holder: str
@@ -105,30 +111,30 @@
     number: int = 0
 
     @property
-    def touched(self) -> list[str]:
-        """Return the accounts that the commit changes, in a fixed order."""
+    def account_names(self) -> list[str]:
+        """Return the names of the accounts that the commit changes, sorted."""
         return sorted({name for name, _ in self.bills} | set(self.draws))
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What a commit did.
+    """Result of a commit.
 
     Parameters
     ----------
     sealed
-        Whether the holder was sealed, so that nothing was done.
+        Whether the holder was already sealed, so that the commit had no effect.
     bills
-        By account and key, what became of each bill; of a sealed holder, of
-        those that an earlier commit recorded or refused.
+        State of each bill, by account and key; for a sealed holder, only of the
+        bills that an earlier commit recorded or refused.
     grants
-        By account, the holder's grant after the commit.
+        The holder's grant after the commit, by account.
     free
-        By account, the tokens that can be drawn.
+        Tokens that can be drawn, by account.
     elsewhere
-        By account, the tokens in other holders' open grants.
+        Tokens in other holders' open grants, by account.
     frozen
-        Accounts whose figures are impossible; the commit left them alone.
+        Accounts that violate an invariant; the commit did not change them.
     """
 
     sealed: bool = False
@@ -141,31 +147,31 @@
 
 @dataclass(frozen=True)
 class Ledger:
-    """Accounts that share one object of the platform.
+    """Accounts that are stored in one object of the platform.
 
     Parameters
     ----------
     holders
-        By name, the holders that are open and those sealed of late.
+        Open and recently sealed holders, by name.
     """
 
     accounts: Mapping[str, Account] = field(default_factory=dict)
     holders: Mapping[str, Holder] = field(default_factory=dict)
 
     def account(self, name: str) -> Account:
-        """Return an account; one that nobody topped up is empty."""
+        """Return an account; empty if it was never topped up."""
         return self.accounts.get(name, Account())
 
     def is_sealed(self, holder: str) -> bool:
-        """Tell whether a holder is known to be sealed."""
+        """Tell whether the ledger lists a holder as sealed."""
         return self.holders.get(holder, Holder()).sealed_at > 0
 
     def list_open(self) -> list[str]:
         """Return the holders that may still commit."""
-        return [name for name, one in self.holders.items() if not one.sealed_at]
+        return [name for name, entry in self.holders.items() if not entry.sealed_at]
 
     def list_sealed(self, before: int) -> list[str]:
-        """Return the holders sealed before an instant and not forgotten."""
+        """Return the holders that were sealed before a time and are still listed."""
         return [n for n, one in self.holders.items() if 0 < one.sealed_at < before]
 
     def list_witnesses(self, holder: str) -> set[str]:
@@ -173,11 +179,11 @@
         grants = [account.grant(holder) for account in self.accounts.values()]
         return {grant.witness for grant in grants if grant.doubt}
 
-    def _with(self, changed: Mapping[str, Account]) -> "Ledger":
+    def _with_accounts(self, changed: Mapping[str, Account]) -> "Ledger":
         return replace(self, accounts={**self.accounts, **changed})
 
     def top_up(self, account: str, identity: str, tokens: int) -> "Ledger":
-        """Return the ledger with a top-up, which its id makes idempotent.
+        """Return the ledger with a top-up applied; its id makes this idempotent.
 
         Examples
         --------
@@ -189,10 +195,10 @@
         if identity in old.topups:
             return self
         topups = {**old.topups, identity: tokens}
-        return self._with({account: replace(old, topups=topups).check()})
+        return self._with_accounts({account: replace(old, topups=topups).check()})
 
     def apply(self, commit: Commit) -> tuple["Ledger", Outcome]:
-        """Return the ledger with a holder's commit, and what it did.
+        """Return the ledger with a holder's commit applied, and the outcome.
 
         Examples
         --------
@@ -204,13 +210,13 @@
         """
         holder = commit.holder
         if self.is_sealed(holder) or (commit.joined and holder not in self.holders):
-            return self, Outcome(True, self._judge(holder, commit.bills))
+            return self, Outcome(True, self._find_states(holder, commit.bills))
         changed: dict[str, Account] = {}
         states: dict[BillKey, BillState] = {}
         frozen = set()
-        for name in commit.touched:
+        for name in commit.account_names:
             try:
-                account, found = self._apply_one(name, commit)
+                account, found = self._apply_to_account(name, commit)
             except InvariantError:
                 frozen.add(name)
                 continue
@@ -218,7 +224,7 @@
             states.update(found)
         refused = tuple(k for (_, k), s in states.items() if s is BillState.REFUSED)
         holders = {**self.holders, holder: Holder(0, commit.number, refused)}
-        ledger = replace(self._with(changed), holders=holders)
+        ledger = replace(self._with_accounts(changed), holders=holders)
         outcome = Outcome(
             bills=states,
             grants={name: a.grant(holder) for name, a in changed.items()},
@@ -226,21 +232,21 @@
             elsewhere={n: a.held - a.grant(holder).held for n, a in changed.items()},
             frozen=frozenset(frozen),
         )
-        return (ledger._close(holder) if commit.closing else ledger), outcome
+        return (ledger._remove_holder(holder) if commit.closing else ledger), outcome
 
-    def _judge(
+    def _find_states(
         self, holder: str, bills: tuple[tuple[str, Bill], ...]
     ) -> dict[BillKey, BillState]:
         known = self.holders.get(holder, Holder())
-        states = {(name, bill.key): known.judge(bill) for name, bill in bills}
+        states = {(name, bill.key): known.find_state(bill) for name, bill in bills}
         return {key: state for key, state in states.items() if state}
 
-    def _apply_one(
+    def _apply_to_account(
         self, name: str, commit: Commit
     ) -> tuple[Account, dict[BillKey, BillState]]:
         account = self.account(name)
         bills = tuple((owner, bill) for owner, bill in commit.bills if owner == name)
-        states = self._judge(commit.holder, bills)
+        states = self._find_states(commit.holder, bills)
         for _, bill in bills:
             if (name, bill.key) not in states:
                 account, states[name, bill.key] = account.record(bill)
@@ -249,14 +255,14 @@
             account = account.draw(commit.holder, draw)
         return account.check(), states
 
-    def _close(self, holder: str) -> "Ledger":
-        gone = {holder}
-        accounts = {n: a.without_grants(gone) for n, a in self.accounts.items()}
+    def _remove_holder(self, holder: str) -> "Ledger":
+        removed = {holder}
+        accounts = {n: a.without_grants(removed) for n, a in self.accounts.items()}
         holders = {name: o for name, o in self.holders.items() if name != holder}
         return Ledger(accounts, holders)
 
     def seal(self, holder: str, at: int = 1) -> "Ledger":
-        """Return the ledger with a lost holder closed for good.
+        """Return the ledger with a lost holder sealed permanently.
 
         Examples
         --------
@@ -276,64 +282,64 @@
         }
         sealed = replace(known, sealed_at=max(1, at))
         holders = {**self.holders, holder: sealed}
-        return replace(self._with(accounts), holders=holders)
+        return replace(self._with_accounts(accounts), holders=holders)
 
     def hand_in(
-        self, holder: str, bills: tuple[tuple[str, Bill], ...], closer: str = ""
+        self, holder: str, bills: tuple[tuple[str, Bill], ...], attested_by: str = ""
     ) -> tuple["Ledger", Mapping[BillKey, BillState]]:
-        """Record late bills of a sealed holder against what is in doubt.
+        """Record late bills of a sealed holder against its tokens in doubt.
 
         Parameters
         ----------
-        closer
-            Who vouches that these are all the bills that the holder may have
-            billed unseen: the holder itself, or its grant's witness, which
-            takes no more copies.  What stays in doubt there is free again.
+        attested_by
+            Incarnation that asserts that no other unrecorded bills of the holder
+            exist: the holder itself, or the witness of a grant, which accepts no
+            more copies.  The remaining doubt of its grants is freed.
         """
         accounts = dict(self.accounts)
-        states = self._judge(holder, bills)
+        states = self._find_states(holder, bills)
         for name, bill in bills:
             if (name, bill.key) in states:
                 continue
             late = replace(bill, holder=holder)
             account = accounts.get(name, Account())
             accounts[name], states[name, bill.key] = account.record_late(late)
-        holders = self._note_late(holder, states)
+        holders = self._add_late_marks(holder, states)
         for name, account in accounts.items():
             grant = account.grant(holder)
-            if grant.doubt and closer and closer in (holder, grant.witness):
+            if grant.doubt and attested_by and attested_by in (holder, grant.witness):
                 accounts[name] = account.with_grant(holder, replace(grant, doubt=0))
         return Ledger(accounts, holders), states
 
-    def _note_late(
+    def _add_late_marks(
         self, holder: str, states: Mapping[BillKey, BillState]
     ) -> Mapping[str, Holder]:
         known = self.holders.get(holder)
-        kept = [make_mark(k) for (_, k), s in states.items() if s is not _REFUSED]
-        new = tuple(mark for mark in kept if known and mark not in known.late)
+        marks = [make_mark(k) for (_, k), s in states.items() if s is not _REFUSED]
+        new = tuple(mark for mark in marks if known and mark not in known.late)
         if not known or not new:
             return self.holders
         return {**self.holders, holder: replace(known, late=known.late + new)}
 
     def forget(self, marks_before: int, holders_before: int) -> "Ledger":
-        """Return the ledger without what no longer matters.
+        """Return the ledger without old marks and old sealed holders.
 
-        That is the marks of bills before an instant, and holders that were
-        sealed before an instant and have nothing in doubt: such a holder's
-        commit says that it had joined, which tells it from a new one.  The
-        tokens stay counted.
+        Drops the marks of bills made before `marks_before`, and the holders that
+        were sealed before `holders_before` and have no tokens in doubt.  A later
+        commit of such a holder says that it had joined, so it is not mistaken
+        for a new holder.  The tokens of dropped marks and holders stay counted.
         """
         accounts = {n: a.forget(marks_before) for n, a in self.accounts.items()}
-        gone = set(self.list_sealed(holders_before))
+        removed = set(self.list_sealed(holders_before))
         for account in accounts.values():
-            gone -= {name for name, grant in account.grants.items() if grant.doubt}
-        if gone:
-            accounts = {n: a.without_grants(gone) for n, a in accounts.items()}
-        holders = {name: o for name, o in self.holders.items() if name not in gone}
-        return Ledger(_drop_oldest(accounts), holders)
+            removed -= {name for name, grant in account.grants.items() if grant.doubt}
+        if removed:
+            accounts = {n: a.without_grants(removed) for n, a in accounts.items()}
+        holders = {name: o for name, o in self.holders.items() if name not in removed}
+        return Ledger(_drop_oldest_marks(accounts), holders)
 
     def write_off(self, holder: str) -> "Ledger":
-        """Return the ledger without a sealed holder; its doubt counts as spent."""
+        """Return the ledger without a sealed holder, counting its doubt as spent."""
         if not self.is_sealed(holder):
             return self
         accounts = {}
@@ -345,7 +351,7 @@
         return Ledger(accounts, holders)
 
 
-def _drop_oldest(accounts: dict[str, Account]) -> dict[str, Account]:
+def _drop_oldest_marks(accounts: dict[str, Account]) -> dict[str, Account]:
     while sum(account.marks for account in accounts.values()) > MAX_MARKS:
         oldest = min(slot for a in accounts.values() for slot in map(int, a.recent))
         accounts = {
--- a/anvilshift/core/purse.py
+++ b/anvilshift/core/purse.py
@@ -1,8 +1,8 @@
-"""What a holder knows of its grant of one account, and how much it wants.
+"""A holder's local view of its grant of one account, and the tokens it requests.
 
-The wanted level follows recent use.  Were it fixed, every router would hold
-the whole of it and a small budget would lie stranded in the routers that don't
-need it, while another refuses the budget's requests.
+The number of tokens that a router requests follows its recent use.  With a fixed
+number every router would hold that many, so most of a small budget could be held by
+routers that don't need it while another router refuses the budget's requests.
 """
 
 from dataclasses import dataclass, field, replace
@@ -16,32 +16,33 @@
     check_invariant,
 )
 
-REFILL_BELOW = 0.5
-"""Refill when less than this share of the wanted level is left: early enough
-that a refill under way (one platform write) ends before the rest is spent."""
-GIVE_ABOVE = 2.0
-"""Give back what is over this multiple of the wanted level; nearer to one, a
-steady use would draw and give back in turn."""
+REFILL_BELOW_FRACTION = 0.5
+"""Draw tokens when less than this fraction of the cushion is available: early enough
+that the draw (one platform write) completes before the rest is spent."""
+RETURN_ABOVE_MULTIPLE = 2.0
+"""Return tokens when more than this multiple of the cushion is available.  With a
+multiple closer to one, steady use would draw and return tokens alternately."""
 USE_SPAN: Millis = 10 * SECOND
-"""Time over which use is averaged: longer than one answer, shorter than the
-minutes of an opening burst."""
+"""Time over which use is averaged: longer than one answer, shorter than the minutes
+of a burst at opening time."""
 CUSHION_SPAN: Millis = 3 * SECOND
-"""Use that the cushion covers: several commits and their retries."""
-PLENTY = 4
-"""Free tokens, in levels, from which on the whole level is held: with so much
-left nobody lacks what lies idle here, and an opening burst after a quiet night
-finds it at hand instead of waiting for a commit."""
-LEAN_SPAN: Millis = 2 * SECOND
-"""Time without a cushion after tokens were handed back for another router:
-drawn again at once, they would never get there."""
+"""Duration of use that the cushion covers: several commits and their retries."""
+FULL_CUSHION_LEVELS = 4
+"""Number of levels that must be free for the cushion to be a whole level: with so
+many tokens free no router lacks the idle ones held here, and a burst at opening time
+after a quiet night can use them without waiting for a commit."""
+CUSHION_PAUSE: Millis = 2 * SECOND
+"""Time without a cushion after tokens were returned for another router, which would
+not get them if they were drawn again at once; also the time for which nothing is
+drawn for a cushion after the ledger had no free tokens."""
 REFUSAL_SPAN: Millis = 800.0
-"""Time for which a refusal is repeated without asking the platform.  A top-up
-is seen within a second: this, and one call."""
+"""Time for which a refusal is repeated without a call to the platform.  A top-up
+takes effect within one second: this time plus one call."""
 
 
 @dataclass(frozen=True)
 class Refusal:
-    """A finding that a budget can't pay for so many tokens."""
+    """A cached result: a request for this many tokens was refused."""
 
     code: Code
     tokens: int
@@ -50,26 +51,39 @@
 
 @dataclass
 class Purse:
-    """A holder's side of one account.
+    """A holder's local state for one account.
 
     Parameters
     ----------
     level
-        Most tokens of a cushion.
+        Maximum cushion in tokens.
+    grant
+        The holder's grant, as far as it may still count on it.
     reserved
-        Tokens set aside, by request.
+        Tokens reserved by each request.
     waiting
-        Tokens that requests wait for, by request.
+        Tokens that each waiting request lacks.
     pending
-        Bills that aren't recorded yet.
+        Bills that the ledger hasn't recorded yet, by key.
     released
-        Pending bills whose answers may have ended.
-    giving
-        Whether another router has asked for what is to spare here.
+        Keys of pending bills whose answers may have ended.
     carried
         Requests reserved under an earlier holder that was sealed.
-    use
-        Tokens reserved of late, older ones counting less.
+    frozen
+        Whether the account is excluded from commits after an invariant failed.
+    giving
+        Whether to return all unreserved tokens with the next commit, because
+        another router asked for them.
+    free, elsewhere
+        Tokens that could be drawn, and tokens in other holders' open grants, as
+        of the last commit.
+    recent_use
+        Tokens reserved recently, reduced linearly with their age; None before
+        the first reservation.
+    no_cushion_until
+        Time until which the cushion is 0, after tokens were returned.
+    no_refill_until
+        Time until which nothing is drawn for the cushion, after none were free.
     """
 
     account: str
@@ -86,34 +100,34 @@
     witness: str = ""
     free: int = 0
     elsewhere: int = 0
-    use: float | None = None
+    recent_use: float | None = None
     used_at: Millis = 0.0
-    lean_until: Millis = -1.0
-    dry_until: Millis = -1.0
+    no_cushion_until: Millis = -1.0
+    no_refill_until: Millis = -1.0
     refusal: Refusal | None = None
 
     @property
     def unrecorded(self) -> int:
-        """Return the tokens of bills that are not recorded yet."""
+        """Return the tokens of pending bills."""
         return sum(bill.tokens for bill in self.pending.values())
 
     @property
     def available(self) -> int:
-        """Return the tokens that a new request may reserve."""
+        """Return the tokens that a new request can reserve."""
         return self.grant.held - self.unrecorded - sum(self.reserved.values())
 
     @property
-    def exposed(self) -> int:
-        """Return the tokens released to callers before they were recorded."""
+    def released_tokens(self) -> int:
+        """Return the tokens of pending bills whose answers may have ended."""
         return sum(self.pending[key].tokens for key in self.released)
 
     @property
     def need(self) -> int:
-        """Return the tokens that requests hold or wait for."""
+        """Return the tokens that requests have reserved or wait for."""
         return sum(self.reserved.values()) + sum(self.waiting.values())
 
     def reserve(self, key: str, tokens: int, now: Millis) -> bool:
-        """Set tokens aside for a request; False when too few are held."""
+        """Reserve tokens for a request; return False if too few are available."""
         more = tokens - self.reserved.get(key, 0)
         if more > 0 and more > self.available:
             self.waiting[key] = more
@@ -125,59 +139,62 @@
         return True
 
     def _count_use(self, tokens: int, now: Millis) -> None:
-        self.use = self._decay(now) + tokens
+        self.recent_use = self._decayed_use(now) + tokens
         self.used_at = now
 
-    def _decay(self, now: Millis) -> float:
-        if self.use is None:
+    def _decayed_use(self, now: Millis) -> float:
+        if self.recent_use is None:
             return 0.0
-        return self.use * max(0.0, 1 - (now - self.used_at) / USE_SPAN)
+        return self.recent_use * max(0.0, 1 - (now - self.used_at) / USE_SPAN)
 
     def cushion(self, now: Millis) -> int:
-        """Return the tokens wanted beyond what requests need.
+        """Return the tokens to hold in addition to what requests need.
 
-        Before anything is known, and while the budget has plenty, it is the
-        whole level.  An idle purse keeps its allowance, which it would live on
-        in an outage.
+        It is the whole level before the first reservation and while many tokens
+        are free.  It is at least the allowance, even without use, because that is
+        all that the holder can spend during an outage.
         """
-        if now < self.lean_until:
+        if now < self.no_cushion_until:
             return 0
-        if self.use is None or self.free >= PLENTY * self.level:
+        if self.recent_use is None or self.free >= FULL_CUSHION_LEVELS * self.level:
             return self.level
-        used = self._decay(now) * CUSHION_SPAN / USE_SPAN
+        used = self._decayed_use(now) * CUSHION_SPAN / USE_SPAN
         return min(self.level, max(int(used), self.allowance))
 
     def needs_draw(self, now: Millis) -> bool:
-        """Tell whether the grant should change."""
+        """Tell whether the next commit should change the grant."""
         if self.frozen:
             return False
-        settled = (self.allowance, self.witness)
+        configured = (self.allowance, self.witness)
         if (
             self.waiting
             or self.giving
-            or (self.grant.allowance, self.grant.witness) != settled
+            or (self.grant.allowance, self.grant.witness) != configured
         ):
             return True
         cushion = self.cushion(now)
-        if self.available > GIVE_ABOVE * cushion:
+        if self.available > RETURN_ABOVE_MULTIPLE * cushion:
             return self.available > 0
-        return now >= self.dry_until and self.available < cushion * REFILL_BELOW
+        return (
+            now >= self.no_refill_until
+            and self.available < cushion * REFILL_BELOW_FRACTION
+        )
 
     def give(self, now: Millis) -> None:
-        """Hand back with the next commit what no request has reserved.
+        """Return all unreserved tokens to the account with the next commit.
 
-        A crumb too small for the requests that wait here goes back as well:
-        the crumbs of all together may do for them.
+        Tokens too few for any request that waits here are returned as well: the
+        remainders of all routers together may be enough for such a request.
         """
         self.giving = self.available > 0
-        self.lean_until = now + LEAN_SPAN
+        self.no_cushion_until = now + CUSHION_PAUSE
 
     def draw(self, now: Millis) -> Draw:
-        """Return the wish to send, and count on nothing that it may take away.
+        """Return the draw to send, after applying its reductions locally.
 
-        What a wish lowers is given up before it is sent: were the answer lost
-        after the write took effect, a holder that still counted the tokens or
-        the allowance would spend what another router has drawn meanwhile.
+        Reductions apply before the draw is sent: if the response were lost after
+        the write took effect, a holder that still counted the old tokens or the
+        old allowance could spend tokens that another router has since drawn.
         """
         reserved = sum(self.reserved.values())
         cushion = self.cushion(now)
@@ -185,15 +202,15 @@
         kept = self.grant.held - self.unrecorded
         if self.giving:
             kept = reserved
-        elif self.available <= GIVE_ABOVE * cushion:
+        elif self.available <= RETURN_ABOVE_MULTIPLE * cushion:
             want = max(want, kept)
-        self._give_up(min(want, kept))
+        self._apply_reductions(min(want, kept))
         least = reserved + min(self.waiting.values(), default=0)
         floor = reserved if self.giving else None
         self.giving = False
         return Draw(want, self.allowance, self.need, self.witness, least, floor)
 
-    def _give_up(self, level: int) -> None:
+    def _apply_reductions(self, level: int) -> None:
         grant = self.grant
         self.grant = replace(
             grant,
@@ -203,61 +220,68 @@
         if self.witness != grant.witness:
             self.grant = replace(self.grant, allowance=0)
 
-    def expose(self, key: str) -> bool:
-        """Count a pending bill as released, if the allowance holds it."""
+    def mark_released(self, key: str) -> bool:
+        """Mark a pending bill as released if the allowance covers it; else False.
+
+        Returns True as well for a bill that is released already or not pending.
+        """
         if key not in self.pending or key in self.released:
             return True
         if self.witness != self.grant.witness:
             return False
-        # The lower of the two allowances counts: one that is being lowered may
-        # be in the ledger already although the answer was lost.
+        # The lower of the two allowances applies: a reduced one may be in the
+        # ledger already even if the response was lost.
         bound = min(self.allowance, self.grant.allowance, self.grant.held)
-        if self.exposed + self.pending[key].tokens > bound:
+        if self.released_tokens + self.pending[key].tokens > bound:
             return False
         self.released.add(key)
         return True
 
     def bill(self, bill: Bill) -> None:
-        """Turn a reservation into a bill that waits to be recorded."""
+        """Replace a reservation by a bill that is pending until it is recorded."""
         reserved = self.reserved.pop(bill.key, None)
-        check_invariant(reserved is not None, "a bill came without a reservation")
-        check_invariant(bill.tokens <= (reserved or 0), "a bill is over its bound")
-        # A caller may send a request again while its first bill waits; that
-        # one stands, for its answer may have ended already.
+        check_invariant(reserved is not None, "a bill has no reservation")
+        check_invariant(
+            bill.tokens <= (reserved or 0), "a bill exceeds its reservation"
+        )
+        # A caller may repeat a request while its first bill is pending.  The
+        # first bill is kept, because its answer may have ended already.
         self.pending.setdefault(bill.key, bill)
 
     def take(self, grant: Grant, free: int, elsewhere: int, now: Millis) -> None:
-        """Take in the grant after a commit."""
+        """Store the grant and the totals that a commit returned."""
         if free > self.free or elsewhere != self.elsewhere:
             self.refusal = None
         self.grant = grant
         self.free = free
         self.elsewhere = elsewhere
         if not free and self.available < self.cushion(now):
-            self.dry_until = now + LEAN_SPAN
+            self.no_refill_until = now + CUSHION_PAUSE
         if self.available >= 0:
             self.carried.clear()
-        backed = self.available + self._carried_tokens()
-        check_invariant(backed >= 0, "a holder reserved more than it has")
+        unreserved = self.available + self._count_carried_tokens()
+        check_invariant(
+            unreserved >= 0, "a holder has reserved more tokens than it holds"
+        )
 
-    def _carried_tokens(self) -> int:
+    def _count_carried_tokens(self) -> int:
         reserved = sum(self.reserved.get(key, 0) for key in self.carried)
         pending = [self.pending[key] for key in self.carried if key in self.pending]
         return reserved + sum(bill.tokens for bill in pending)
 
     def refuse(self, key: str, tokens: int, now: Millis) -> Code:
-        """Return why a request can't be paid, and remember it for a moment."""
+        """Return why a request can't be paid for, and cache an exhausted budget."""
         self.waiting.pop(key, None)
-        within_reach = self.grant.held - self.unrecorded + self.free + self.elsewhere
-        # What work in flight has reserved comes back in part as it ends, at
-        # any moment, so only a finding that all is spent is worth keeping.
-        if tokens <= within_reach:
+        reachable = self.grant.held - self.unrecorded + self.free + self.elsewhere
+        # Requests in flight may return part of their reservations at any time,
+        # so only the result that too few unspent tokens exist is cached.
+        if tokens <= reachable:
             return BUDGET_UNREACHABLE
         self.refusal = Refusal(BUDGET_EXHAUSTED, tokens, now + REFUSAL_SPAN)
         return BUDGET_EXHAUSTED
 
     def recall_refusal(self, tokens: int, now: Millis) -> Code | None:
-        """Return why as many tokens were refused a moment ago, if they were."""
+        """Return the cached reason for refusing this many tokens, if any."""
         refusal = self.refusal
         if refusal is None or now >= refusal.until or tokens < refusal.tokens:
             return None
--- a/anvilshift/core/wallet.py
+++ b/anvilshift/core/wallet.py
@@ -1,14 +1,14 @@
-"""What one router may spend of each organisation's prepaid total, and has spent.
+"""Tokens of each organisation's prepaid total that one router may spend and has spent.
 
-Load pattern: callers send large prompts in bursts while the platform's store
-is out of reach for many seconds.  Without a cushion the router would refuse
-proper work as soon as the store is gone; with too large a cushion a killed
-router strands tokens that nobody can spend any more.
+Load pattern: callers send large prompts in bursts while the platform's store is
+unreachable for many seconds.  Without a cushion the router would refuse valid requests
+as soon as the store is unreachable; with too large a cushion, killing the router
+would leave tokens allotted to it that no router can spend.
 
-A request reserves the most that it can cost and settles what it used.  Two routers
-keep an organisation's tokens and hand them to the others, request by request; what
-they may spend beyond their record of use follows the rate of use, so that a kill
-strands little of what they keep.
+A request reserves the maximum that it can cost and settles the tokens it used.  Two
+routers, the keepers, hold an organisation's tokens and transfer them to the other
+routers for each request.  The amount that a keeper may spend beyond its record of use
+follows the rate of use, so that killing a keeper makes few of its tokens unusable.
 """
 
 from collections.abc import Mapping
@@ -20,14 +20,20 @@
 from anvilshift.core.usage import Use, UseRecord
 
 FREE_KNOWN_FOR: Millis = 2 * SECOND
-"""How long what a write found free holds: a total grows by seconds, and each look is
-a priced write."""
-_UNKEPT: Millis = 1 * SECOND
-"""After no keeper answered: about as long as one that is lost still counts as there."""
+"""How long the free tokens that a write returned count as known.  Totals change over
+seconds, and finding out the free tokens costs a billed write."""
+_SELF_DRAW_SPAN: Millis = 1 * SECOND
+"""How long the router draws tokens itself after no keeper answered: about the time for
+which a lost keeper is still listed as present."""
 
 
 class Wallet:
-    """Reserve and settle tokens of all organisations at one router.
+    """Reserves and settles the tokens of all organisations at one router.
+
+    Parameters
+    ----------
+    holder
+        Name under which this router's shares are stored.
 
     Examples
     --------
@@ -51,20 +57,20 @@
         self.seen = Allotments()
 
     def configure(self, totals: Mapping[str, int | None], now: Millis) -> None:
-        """Take in the totals of a configuration; None is no limit."""
+        """Apply the totals of a configuration; None means no limit."""
         for name, total in totals.items():
             purse = self.purses.setdefault(name, Purse())
             purse.limited = total is not None
             if total is not None and total < purse.total:
-                # Less is prepaid than before: what lies ready here may be more
-                # than is left, so it goes back before anything else is drawn.
+                # The total was reduced, so the tokens held here may exceed what
+                # is left.  They are returned before anything else is drawn.
                 purse.ceiling = min(purse.ceiling, purse.spent)
             if total is not None and total > purse.total:
                 purse.free_until = now
             purse.total = total or 0
 
     def reserve(self, name: str, key: str, tokens: int, now: Millis) -> bool:
-        """Set tokens aside for a request; False when too few lie ready."""
+        """Reserve tokens for a request; return False if too few are available."""
         purse = self.purses.setdefault(name, Purse())
         if purse.limited and tokens > purse.available(now):
             purse.waiting[key] = tokens
@@ -75,16 +81,16 @@
         return True
 
     def is_dry(self, name: str, now: Millis) -> bool:
-        """Tell whether the last write found too little free."""
+        """Tell whether too few tokens were free as of the last write."""
         purse = self.purses.get(name)
         return purse is not None and purse.is_dry(now)
 
     def give_up(self, name: str, key: str) -> None:
-        """Forget a request that waited for tokens."""
+        """Remove a request that was waiting for tokens."""
         self.purses[name].waiting.pop(key, None)
 
     def settle(self, name: str, key: str, tokens: int, now: Millis) -> None:
-        """Turn a reservation into what was used; 0 gives all of it back."""
+        """Replace a reservation by the tokens used; 0 returns all of it."""
         purse = self.purses[name]
         used = min(tokens, purse.reserved.pop(key, 0))
         purse.settled += used
@@ -92,26 +98,26 @@
             purse.count_use(used, now)
 
     def wants_change(self, now: Millis) -> bool:
-        """Tell whether the shares in the store should change."""
+        """Tell whether this router's shares in the store should change."""
         return any(purse.needs_change(now) for purse in self.purses.values())
 
     def is_waited_for(self, now: Millis) -> bool:
-        """Tell whether a request waits for tokens that may be drawn now."""
+        """Tell whether a request waits for tokens that can be drawn now."""
         return any(
             purse.lacks() and purse.draws(now) and not purse.is_dry(now)
             for purse in self.purses.values()
         )
 
     def note_unkept(self, name: str, now: Millis) -> None:
-        """Take in that no keeper of an organisation's tokens answers."""
-        self.purses[name].unkept_until = now + _UNKEPT
+        """Record that no keeper of an organisation's tokens answered."""
+        self.purses[name].unkept_until = now + _SELF_DRAW_SPAN
 
     def make_wishes(self, now: Millis) -> dict[str, Wish]:
-        """Return what to ask now, and stop counting on what is given back.
+        """Return the share changes to request, after applying reductions locally.
 
-        What a wish lowers is given up before it is sent: were the answer lost
-        after the write took effect, this router would spend tokens that
-        another has drawn meanwhile.
+        A reduction applies before it is sent: if the response were lost after the
+        write took effect, this router could otherwise spend tokens that another
+        router has since drawn.
         """
         wishes = {}
         for name, purse in self.purses.items():
@@ -123,12 +129,12 @@
     def take(
         self, allotments: Allotments, now: Millis, known_for: Millis = FREE_KNOWN_FOR
     ) -> None:
-        """Take in the object after a write of this router took effect.
+        """Store the allotments after a write of this router took effect.
 
         Parameters
         ----------
         known_for
-            How long what is free counts as known.
+            How long the free tokens count as known.
         """
         self.seen = allotments
         for name, purse in self.purses.items():
@@ -142,49 +148,52 @@
             purse.free, purse.free_until = known.free, now + known_for
 
     def set_provable(self, provable: bool) -> None:
-        """Take in whether a successor could prove how much was spent here."""
+        """Set whether a successor could prove how many tokens were spent here."""
         for purse in self.purses.values():
             purse.provable = provable
 
     def set_keepers(self, keepers: KeeperMap) -> None:
-        """Take in who keeps which organisation's tokens."""
+        """Update which routers are the keepers of each organisation's tokens."""
         for name, purse in self.purses.items():
             purse.rank = keepers.find_rank(name)
             purse.keepers = len(keepers.list_keepers(name))
 
     def keeps_any(self) -> bool:
-        """Tell whether this router's use has to be recorded."""
+        """Tell whether this router must record its use of any organisation's tokens."""
         return any(
             purse.limited and (purse.keeping or purse.is_paced())
             for purse in self.purses.values()
         )
 
     def make_uses(self, now: Millis) -> dict[str, Use]:
-        """Return what to say of every organisation's use."""
-        limited = {name: one for name, one in self.purses.items() if one.limited}
+        """Return the use of every limited organisation to write to the record."""
+        limited = {name: p for name, p in self.purses.items() if p.limited}
         return {name: purse.make_use(now) for name, purse in limited.items()}
 
     def pace(self, record: UseRecord) -> None:
-        """Keep to a record that is about to be written; it may take effect."""
+        """Limit spending by a record of use that is about to be written.
+
+        The limit applies before the write, which may take effect unnoticed.
+        """
         for name, use in record.uses.items():
             if name in self.purses:
                 self.purses[name].paces += (Pace(record.anchor, use),)
 
     def settle_pace(self, record: UseRecord) -> None:
-        """Keep only to a record that the store has confirmed.
+        """Limit spending only by a record that the store has confirmed.
 
-        A write before it that was not answered can't take effect any more.
+        Earlier writes without a response can no longer take effect.
         """
         for name, purse in self.purses.items():
             use = record.uses.get(name)
             purse.paces = (Pace(record.anchor, use),) if use else ()
 
     def hand_over(self, name: str, key: str, now: Millis) -> int:
-        """Turn a reservation into tokens for another router; return how many.
+        """Transfer the tokens of a reservation to another router; return their number.
 
-        They count as spent here from before they are sent, and this router's
-        share in the store goes on covering them: a gift that is lost on its
-        way is out of reach, never there twice.
+        They count as spent here before they are sent, and this router's share in
+        the store continues to cover them: tokens of a transfer that is lost become
+        unusable, but are never spent twice.
 
         Examples
         --------
@@ -202,37 +211,41 @@
         return given
 
     def find_idle(self, now: Millis) -> dict[str, int]:
-        """Return what lies idle at a router that keeps none, by organisation."""
-        idle = {name: one.find_idle(now) for name, one in self.purses.items()}
+        """Return the idle tokens by organisation.
+
+        Only organisations for which this router is not a keeper are listed.
+        """
+        idle = {name: p.find_idle(now) for name, p in self.purses.items()}
         return {name: tokens for name, tokens in idle.items() if tokens > 0}
 
     def take_out(self, name: str, tokens: int) -> None:
-        """Count tokens as spent that are about to be given away."""
+        """Count tokens as spent that are about to be transferred."""
         self.purses[name].settled += tokens
 
     def find_wait(self, name: str, key: str, now: Millis) -> Millis | None:
-        """Return when a waiting request may reserve if nothing is drawn.
+        """Return how long until a waiting request may reserve if nothing is drawn.
 
-        Those that waited before it go first.  None is never.
+        Requests that began to wait earlier go first.  None means never.
         """
         purse = self.purses[name]
         tokens = 0
-        for waiting, needed in purse.waiting.items():
+        for waiting_key, needed in purse.waiting.items():
             tokens += needed
-            if waiting == key:
+            if waiting_key == key:
                 break
         return purse.find_wait(tokens, now)
 
     def receive(self, name: str, tokens: int) -> None:
-        """Take in tokens that another router gave."""
+        """Add tokens that another router transferred."""
         if name in self.purses:
             self.purses[name].settled -= tokens
 
     def is_exhausted(self, name: str, tokens: int) -> bool:
-        """Tell whether the total certainly can't cover as many tokens.
+        """Tell whether the total certainly can't cover this many tokens.
 
-        What others hold and have not recorded as spent, and what ended holders
-        left in doubt, may still be there: then nobody can say so.
+        Tokens that other routers hold and have not recorded as spent, and tokens
+        in doubt of holders that ended, may be unspent; exhaustion is not certain
+        while they would cover the request.
         """
         purse = self.purses[name]
         known: Allotment = self.seen.of(name)
--- a/tests/core/test_ledger.py
+++ b/tests/core/test_ledger.py
@@ -115,7 +115,7 @@
         after, outcome = ledger.apply(again)
         self.assertEqual(outcome.bills["pounds", "k"], BillState.RECORDED)
         self.assertEqual(after.account("pounds").spent, 60)
-        sealed, states = ledger.seal("r1").hand_in("r1", (one,), closer="r1")
+        sealed, states = ledger.seal("r1").hand_in("r1", (one,), attested_by="r1")
         self.assertEqual(states["pounds", "k"], BillState.RECORDED)
         self.assertEqual(sealed.account("pounds").spent, 60)
 
@@ -123,9 +123,9 @@
         commit = Commit("r1", draws={"pounds": Draw(600, 100, witness="r2")})
         ledger = make_ledger().apply(commit)[0].seal("r1")
         copies = (bill("a", 30),)
-        kept, _ = ledger.hand_in("r1", copies, closer="r3")
+        kept, _ = ledger.hand_in("r1", copies, attested_by="r3")
         self.assertEqual(kept.account("pounds").doubt, 70)
-        closed, _ = ledger.hand_in("r1", copies, closer="r2")
+        closed, _ = ledger.hand_in("r1", copies, attested_by="r2")
         account = closed.account("pounds")
         self.assertEqual((account.spent, account.doubt, account.free), (30, 0, 970))
 
