--- a/anvilshift/core/purse.py
+++ b/anvilshift/core/purse.py
@@ -259,10 +259,8 @@
             self.no_refill_until = now + CUSHION_PAUSE
         if self.available >= 0:
             self.carried.clear()
-        unreserved = self.available + self._count_carried_tokens()
-        check_invariant(
-            unreserved >= 0, "a holder has reserved more tokens than it holds"
-        )
+        covered = self.available + self._count_carried_tokens()
+        check_invariant(covered >= 0, "a holder has reserved more tokens than it holds")
 
     def _count_carried_tokens(self) -> int:
         reserved = sum(self.reserved.get(key, 0) for key in self.carried)
--- a/tests/core/test_budget_machine.py
+++ b/tests/core/test_budget_machine.py
@@ -1,4 +1,4 @@
-"""Routers, a ledger and witnesses in any order of events: nobody overspends."""
+"""Random event orders of routers, a ledger and witnesses never overspend a budget."""
 
 import random
 import unittest
@@ -10,12 +10,12 @@
 
 SEEDS = 200
 STEPS = 150
-FATES = ("done", "done", "lost on its way", "answer lost", "hangs")
+FATES = ("done", "done", "request lost", "response lost", "hangs")
 
 
 @dataclass
 class Router:
-    """A router's money, its calls spread over separate events."""
+    """A router's budget state; its ledger calls begin and end in separate events."""
 
     incarnation: str
     escrow: Escrow
@@ -39,7 +39,7 @@
 
 
 class BudgetRun:
-    """What callers received is summed up apart from the ledger."""
+    """One random run; the tokens that callers received are summed independently."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -47,13 +47,13 @@
         self.routers = [Router.start(f"r{n}-0") for n in range(3)]
         self.tokens: dict[str, int] = {}
         self.answered: set[str] = set()
-        self.dead = 0
+        self.killed = 0
         self.now = 0
         for at in range(3):
             self.choose_witness(at, (at + 1) % 3)
             self.commit(at, False, "done")
 
-    def end_recorded(self, states):
+    def add_answered(self, states):
         for (_, key), state in states.items():
             if state is not BillState.REFUSED:
                 self.answered.add(key)
@@ -66,11 +66,11 @@
             lambda: self.release_early(at, rng.random() < 0.8): 6,
             lambda: self.finish_commit(at): 2,
             lambda: self.witness(at): 2,
-            lambda: self.hand_in_own(at): 2,
+            lambda: self.submit_released(at): 2,
             lambda: self.seal(at): 1,
             lambda: self.kill(at): 0.3,
             lambda: self.choose_witness(at, rng.randrange(3)): 1,
-            lambda: self.change_allowance(at, rng.choice([10, 60, 100])): 1,
+            lambda: self.set_allowance(at, rng.choice([10, 60, 100])): 1,
             lambda: self.top_up(rng.randint(1, 80)): 1,
             self.forget: 0.5,
         }
@@ -111,21 +111,21 @@
             if not witness or any(kept):
                 self.answered.add(key)
 
-    def change_allowance(self, at, allowance):
+    def set_allowance(self, at, allowance):
         self.routers[at].escrow.open("pounds", allowance, level=150)
 
     def choose_witness(self, at, of):
         name = "" if at == of else self.routers[of].incarnation
         self.routers[at].escrow.choose_witness(name)
 
-    def commit(self, at, giving, fate):
-        """Commit; what hangs is finished or lost by a later event."""
+    def commit(self, at, returning, fate):
+        """Commit; a later event finishes or loses a commit that hangs."""
         router = self.routers[at]
         if router.commit is None:
             escrow, now = router.escrow, float(self.now)
-            make = escrow.give_back if giving else escrow.begin_commit
+            make = escrow.give_back if returning else escrow.begin_commit
             router.commit = make(now=now)
-        if fate != "lost on its way":
+        if fate != "request lost":
             self.ledger, router.outcome = self.ledger.apply(router.commit)
         if fate == "done":
             self.finish_commit(at)
@@ -139,7 +139,7 @@
             return
         commit, outcome = router.commit, router.outcome
         router.commit = router.outcome = None
-        self.end_recorded(outcome.bills)
+        self.add_answered(outcome.bills)
         if not outcome.sealed:
             router.escrow.finish_commit(commit, outcome, float(self.now))
             assert not router.purse.frozen
@@ -153,15 +153,15 @@
     def seal(self, at):
         self.ledger = self.ledger.seal(self.routers[at].escrow.holder, self.now + 1)
 
-    def hand_in_own(self, at):
+    def submit_released(self, at):
         for escrow in self.routers[at].sealed:
             bills = escrow.list_released()
             self.ledger, states = self.ledger.hand_in(
                 escrow.holder, bills, escrow.holder
             )
-            self.end_recorded(states)
+            self.add_answered(states)
             refused = {key for (_, key), s in states.items() if s is BillState.REFUSED}
-            assert not refused & self.answered, "what a caller has is refused"
+            assert not refused & self.answered, "the bill of an ended answer is refused"
             self.routers[at].escrow.adopt(states, bills)
         self.routers[at].sealed = []
 
@@ -174,8 +174,8 @@
                 self.ledger, _ = self.ledger.hand_in(holder, bills, name)
 
     def kill(self, at):
-        self.dead += 1
-        self.routers[at] = Router.start(f"r{at}-{self.dead}")
+        self.killed += 1
+        self.routers[at] = Router.start(f"r{at}-{self.killed}")
 
     def forget(self):
         self.ledger = self.ledger.forget(self.now, 0)
@@ -184,20 +184,22 @@
     def check(self):
         account = self.ledger.account("pounds").check()
         received = sum(self.tokens[key] for key in self.answered)
-        assert received <= account.total, "callers received more than was paid for"
-        assert account.spent <= sum(self.tokens.values()), "a request billed twice"
+        assert received <= account.total, (
+            "callers received more tokens than were topped up"
+        )
+        assert account.spent <= sum(self.tokens.values()), "a request is billed twice"
 
     def end(self):
-        """Let every router that lives come to rest, and compare the sums."""
+        """Finish the commits of all living routers and compare the sums."""
         for at, router in enumerate(self.routers):
             router.commit = router.outcome = None
             for _ in range(3):
                 self.commit(at, True, "done")
-            self.hand_in_own(at)
+            self.submit_released(at)
             self.commit(at, True, "done")
             assert not router.purse.pending
         self.check()
-        if not self.dead:
+        if not self.killed:
             spent = self.ledger.account("pounds").spent
             assert spent == sum(self.tokens[key] for key in self.answered)
 
--- a/tests/core/test_escrow.py
+++ b/tests/core/test_escrow.py
@@ -1,4 +1,4 @@
-"""The escrow: what a holder may spend without asking the platform."""
+"""Tests of the tokens that a holder may spend without a call to the platform."""
 
 import unittest
 
@@ -15,9 +15,9 @@
 
 
 def commit(escrow: Escrow, ledger: Ledger) -> Ledger:
-    wish = escrow.begin_commit()
-    ledger, outcome = ledger.apply(wish)
-    escrow.finish_commit(wish, outcome)
+    request = escrow.begin_commit()
+    ledger, outcome = ledger.apply(request)
+    escrow.finish_commit(request, outcome)
     return ledger
 
 
@@ -35,10 +35,10 @@
         self.assertTrue(escrow.reserve("pounds", "a", 800))
 
     def test_early_release_stays_within_the_allowance(self):
-        """The platform is out while answers end.
+        """Guards against releasing more than the allowance in a platform outage.
 
-        Only what the ledger has set aside as the allowance may be released;
-        were it more, sealing this router would hand the same tokens out again.
+        Only the allowance stays in doubt when this router is sealed.  Tokens
+        released beyond it would be given to another holder a second time.
         """
         escrow, _ = make_escrow(allowance=100)
         for key, tokens in (("a", 70), ("b", 40)):
@@ -47,23 +47,24 @@
         self.assertTrue(escrow.release_early("pounds", "a"))
         self.assertFalse(escrow.release_early("pounds", "b"))
 
-    def test_tokens_given_back_are_gone_before_the_answer_comes(self):
-        """A router gives tokens back and the platform's answer is lost.
+    def test_returned_tokens_are_unavailable_before_the_response(self):
+        """Guards against spending returned tokens when the response is lost.
 
-        Another router may draw them at once, so this one must not count on
-        them although it never learned that the write took effect.
+        Another router may draw them at once, so this one must stop counting on
+        them before it knows whether the write took effect.
         """
         escrow, ledger = make_escrow()
         ledger, _ = ledger.apply(escrow.give_back())
         self.assertEqual(ledger.account("pounds").free, 1_000)
         self.assertFalse(escrow.reserve("pounds", "a", 1))
 
-    def test_allowance_lowered_in_vain_counts_as_lowered(self):
-        """An operator lowers the allowance and raises it again.
+    def test_lowered_allowance_applies_when_the_response_is_lost(self):
+        """Guards against releasing more than a lowered allowance.
 
-        The platform takes the lower one and its answer is lost.  Were the
-        router to live on the old figure, more would be released than sealing
-        it leaves in doubt, and the difference would be handed out twice.
+        An operator lowers the allowance and raises it again; the ledger stores the
+        lower one and the response is lost.  If the router used the old allowance, it
+        would release more than sealing leaves in doubt, and the difference would be
+        drawn a second time.
         """
         escrow, ledger = make_escrow(allowance=100)
         escrow.open("pounds", 10, level=500)
@@ -90,26 +91,26 @@
             escrow.bill("pounds", Bill("a", "kosice", tokens, "r1"))
         self.assertEqual(commit(escrow, ledger).account("pounds").spent, 40)
 
-    def test_idle_router_hands_its_cushion_back(self):
+    def test_idle_router_returns_its_cushion(self):
         escrow, ledger = make_escrow(allowance=50)
         escrow.reserve("pounds", "a", 10, now=0.0)
-        wish = escrow.begin_commit(now=60_000.0)
-        ledger, _ = ledger.apply(wish)
+        request = escrow.begin_commit(now=60_000.0)
+        ledger, _ = ledger.apply(request)
         self.assertEqual(ledger.account("pounds").held, 60)
 
-    def test_heir_bills_what_its_sealed_forerunner_had_in_hand(self):
+    def test_successor_bills_pending_requests_of_a_sealed_holder(self):
         escrow, ledger = make_escrow()
         escrow.reserve("pounds", "a", 40)
         escrow.bill("pounds", Bill("a", "kosice", 40, "r1"))
         ledger = ledger.seal("r1")
-        heir = escrow.succeed("r1.1")
-        wish = heir.begin_commit()
-        ledger, outcome = ledger.apply(wish)
-        heir.finish_commit(wish, outcome)
+        successor = escrow.succeed("r1.1")
+        request = successor.begin_commit()
+        ledger, outcome = ledger.apply(request)
+        successor.finish_commit(request, outcome)
         self.assertEqual(outcome.bills["pounds", "a"], BillState.RECORDED)
         self.assertEqual(ledger.account("pounds").spent, 40)
 
-    def test_refusal_says_where_the_tokens_are(self):
+    def test_refusal_tells_unreachable_from_exhausted(self):
         escrow, _ = make_escrow()
         purse = escrow.purses["pounds"]
         purse.take(Grant(), free=0, elsewhere=300, now=0.0)
--- a/tests/core/test_exposure.py
+++ b/tests/core/test_exposure.py
@@ -1,4 +1,4 @@
-"""A content reaches two targets before it was answered whole, and no third."""
+"""Tests that a content without a complete answer reaches at most two targets."""
 
 import unittest
 
@@ -13,29 +13,29 @@
         self.exposure.charge("work", target, 0.0)
         self.exposure.end("work", target, ran)
 
-    def test_content_that_used_its_credit_goes_back_to_the_same_targets(self):
+    def test_content_at_its_limit_is_confined_to_its_charged_targets(self):
         self.run_at("e1")
         self.assertTrue(self.exposure.may_reach("work", "e3"))
         self.run_at("e2")
         self.assertEqual(self.exposure.list_confined("work"), ["e1", "e2"])
         self.assertFalse(self.exposure.may_reach("work", "e3"))
 
-    def test_copies_under_way_are_charged_before_any_ends(self):
+    def test_attempts_in_progress_are_charged(self):
         for target in ("e1", "e2"):
             self.exposure.charge("work", target, 0.0)
         self.assertFalse(self.exposure.may_reach("work", "e3"))
 
-    def test_what_never_ran_costs_nothing(self):
+    def test_attempt_that_never_ran_is_refunded(self):
         for target in ("e1", "e2", "e3"):
             self.run_at(target, ran=False)
         self.assertEqual(self.exposure.list_reached("work"), [])
 
-    def test_copy_that_never_ran_leaves_the_charge_of_one_that_did(self):
+    def test_refund_keeps_the_charge_of_an_attempt_that_ran(self):
         self.run_at("e1")
         self.run_at("e1", ran=False)
         self.assertEqual(self.exposure.list_reached("work"), ["e1"])
 
-    def test_whole_answer_frees_content_and_its_copies(self):
+    def test_complete_answer_clears_charges_and_other_attempts(self):
         for target in ("e1", "e2"):
             self.exposure.charge("work", target, 0.0)
         self.exposure.end("work", "e1", ran=True)
@@ -45,18 +45,18 @@
         self.run_at("e4")
         self.assertTrue(self.exposure.may_reach("work", "e5"))
 
-    def test_crash_counts_against_content_that_was_answered_before(self):
+    def test_crash_is_charged_to_content_answered_before(self):
         self.exposure.clear("work")
         for target in ("e1", "e2"):
             self.exposure.crashed("work", target, 1.0)
         self.assertFalse(self.exposure.may_reach("work", "e3"))
 
-    def test_news_of_other_routers_counts(self):
+    def test_crash_reported_by_another_router_is_charged(self):
         self.run_at("e1")
         self.exposure.crashed("work", "e2", 1.0)
         self.assertEqual(self.exposure.list_confined("work"), ["e1", "e2"])
 
-    def test_time_forgets_what_nobody_sends(self):
+    def test_charges_expire_without_new_attempts(self):
         self.run_at("e1")
         self.run_at("e2")
         self.exposure.expire("work", FORGET_AFTER)
--- a/tests/core/test_ledger.py
+++ b/tests/core/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: every token is in one place, whatever is lost or repeated."""
+"""Tests that the ledger counts every token once when messages are lost or repeated."""
 
 import unittest
 from dataclasses import replace
@@ -37,9 +37,9 @@
         self.assertEqual(account.free, 0)
 
     def test_bill_recorded_twice_is_recorded_once(self):
-        """A commit takes effect and its answer is lost, so it is sent again.
+        """Guards against billing a request twice when a commit is repeated.
 
-        The franchisee must pay for the answer once.
+        The commit took effect, but its response was lost, so it is sent again.
         """
         commit = Commit("r1", (bill("k", 100),))
         once, _ = draw(make_ledger(), "r1", 500).apply(commit)
@@ -48,9 +48,10 @@
         self.assertEqual(outcome.bills["pounds", "k"], BillState.RECORDED)
 
     def test_second_router_does_not_bill_the_same_request(self):
-        """A router dies after its bill was recorded but before the answer ended.
+        """Guards against billing a request again after its router failed.
 
-        The caller sends the request again through another router.
+        The router failed after its bill was recorded but before the answer ended;
+        the caller repeats the request through another router.
         """
         ledger = draw(draw(make_ledger(), "r1", 300), "r2", 300)
         ledger, _ = ledger.apply(Commit("r1", (bill("k", 100),)))
@@ -59,10 +60,10 @@
         self.assertEqual(ledger.account("pounds").spent, 100)
 
     def test_sealed_holder_cannot_bill_or_draw(self):
-        """A router is paused past its lease and wakes with bills in hand.
+        """Guards against commits of a router that resumes after it was sealed.
 
-        Its tokens have been given to others, so nothing more may be billed on
-        its grant than what was set aside as its allowance.
+        The router was paused beyond its lease and still has pending bills.  All of
+        its tokens but the allowance are free for others by then.
         """
         ledger = draw(make_ledger(), "r1", 600, allowance=100).seal("r1")
         self.assertEqual(ledger.account("pounds").free, 900)
@@ -78,7 +79,7 @@
         account = ledger.account("pounds")
         self.assertEqual((account.spent, account.doubt, account.free), (80, 20, 900))
 
-    def test_cushions_leave_a_share_and_needs_are_met(self):
+    def test_cushions_are_limited_to_a_share_and_needs_are_met(self):
         ledger = make_ledger()
         for holder, held in (("r1", 500), ("r2", 166), ("r3", 83)):
             commit = Commit(holder, draws={"pounds": Draw(700, 0, need=0)})
@@ -88,10 +89,11 @@
         self.assertEqual(ledger.apply(commit)[1].grants["pounds"].held, 242)
 
     def test_forgotten_holder_stays_sealed(self):
-        """Thousands of routers are replaced a day; the ledger must not grow.
+        """Guards against a removed holder that resumes and spends its old tokens.
 
-        A router that slept through its sealing and its being forgotten wakes
-        with tokens in mind that others have drawn.
+        Thousands of routers are replaced a day, so sealed holders are removed to
+        keep the ledger small.  A router paused meanwhile still counts on tokens
+        that others have drawn.
         """
         ledger = draw(make_ledger(), "r1", 600).seal("r1").forget(0, holders_before=9)
         self.assertEqual(ledger.holders, {})
@@ -100,11 +102,12 @@
         self.assertTrue(ledger.apply(again)[1].sealed)
 
     def test_bill_is_recorded_once_after_its_mark_is_forgotten(self):
-        """A router is cut off as it commits, and comes back minutes later.
+        """Guards against billing a request again after its mark was dropped.
 
-        Its commit took effect and the answer was lost; the other routers have
-        gone on and the marks of that time are forgotten.  The request must
-        not be billed again, neither by its holder nor after a sealing.
+        A router is disconnected during a commit, which takes effect while its
+        response is lost, and reconnects minutes later when the marks of that time
+        are dropped.  Neither its commit nor a submission after sealing may bill the
+        request again.
         """
         ledger = draw(make_ledger(), "r1", 500, allowance=100)
         one = bill("k", 60)
@@ -119,7 +122,7 @@
         self.assertEqual(states["pounds", "k"], BillState.RECORDED)
         self.assertEqual(sealed.account("pounds").spent, 60)
 
-    def test_witness_closes_the_doubt_and_no_other(self):
+    def test_only_the_witness_frees_the_remaining_doubt(self):
         commit = Commit("r1", draws={"pounds": Draw(600, 100, witness="r2")})
         ledger = make_ledger().apply(commit)[0].seal("r1")
         copies = (bill("a", 30),)
@@ -129,7 +132,7 @@
         account = closed.account("pounds")
         self.assertEqual((account.spent, account.doubt, account.free), (30, 0, 970))
 
-    def test_closing_twice_gives_back_once(self):
+    def test_closing_twice_returns_tokens_once(self):
         ledger = draw(make_ledger(), "r1", 600, allowance=100)
         draws = {"pounds": Draw(0, 0)}
         commit = Commit("r1", (bill("k", 50),), draws, joined=True, closing=True)
@@ -138,8 +141,8 @@
         self.assertTrue(outcome.sealed)
         self.assertEqual((again.account("pounds").free, again.holders), (950, {}))
 
-    def test_marks_stay_within_the_platforms_value(self):
-        """A ledger too large to write would stop every budget in it."""
+    def test_marks_stay_within_the_size_limit(self):
+        """Guards against a ledger too large to write, which blocks all its budgets."""
         ledger = draw(make_ledger(), "r1", 600)
         slots = {str(n): {"r1": "x" * (MAX_MARKS // 4)} for n in range(1, 6)}
         account = replace(ledger.account("pounds"), recent=slots)
--- a/tests/core/test_wallet.py
+++ b/tests/core/test_wallet.py
@@ -17,7 +17,7 @@
 
 
 class WalletTest(unittest.TestCase):
-    def test_a_request_sets_its_most_aside_and_gives_the_rest_back(self):
+    def test_a_request_reserves_its_maximum_and_returns_the_rest(self):
         wallet = make_wallet(ceiling=100)
         self.assertTrue(wallet.reserve(POUNDS, "a", 80, 0.0))
         self.assertFalse(wallet.reserve(POUNDS, "b", 30, 0.0))
@@ -37,18 +37,18 @@
         self.assertTrue(wallet.reserve(POUNDS, "a", 10**9, 0.0))
         self.assertFalse(wallet.wants_change(0.0))
 
-    def test_what_a_wish_lowers_is_given_up_before_it_is_sent(self):
-        """A router gives tokens back and the answer to its write is lost.
+    def test_a_reduction_applies_before_it_is_sent(self):
+        """Guards against spending returned tokens when the response is lost.
 
-        The write took effect, and another router draws the tokens.  If this
-        one counted on them until it heard, both would spend them.
+        The write took effect and another router draws the tokens.  If this router
+        counted on them until the response arrived, both could spend them.
         """
         wallet = make_wallet(ceiling=9_000)
         wish = wallet.make_wishes(now=0.0)[POUNDS]
         self.assertLess(wish.ceiling, 9_000)
         self.assertEqual(wallet.purses[POUNDS].ceiling, wish.ceiling)
 
-    def test_a_gift_counts_once_and_never_twice(self):
+    def test_transferred_tokens_count_once(self):
         giver, receiver = make_wallet(ceiling=100), make_wallet(ceiling=0)
         self.assertTrue(giver.reserve(POUNDS, "r2/1", 50, 0.0))
         given = giver.hand_over(POUNDS, "r2/1", 0.0)
@@ -57,7 +57,7 @@
         together = giver.purses[POUNDS].ready + receiver.purses[POUNDS].ready
         self.assertEqual(together, 100)
 
-    def test_a_cut_total_gives_up_what_lies_ready_at_once(self):
+    def test_a_reduced_total_disables_held_tokens_at_once(self):
         wallet = make_wallet(ceiling=1_000)
         wallet.reserve(POUNDS, "a", 10, 0.0)
         wallet.configure({POUNDS: 500}, 1.0)
@@ -70,35 +70,37 @@
             wallet.reserve(POUNDS, str(second), 5_000, now)
             wallet.settle(POUNDS, str(second), 5_000, now)
         cushion = wallet.purses[POUNDS].cushion(29_000.0)
-        # 5 tokens a millisecond for ten seconds.
+        # 5 tokens per millisecond for 10 s.
         self.assertAlmostEqual(cushion, 50_000, delta=0.15 * 50_000)
 
-    def test_a_router_that_has_just_started_asks_for_little(self):
-        """A router starts, hears nobody yet and takes a sixth of each total.
+    def test_a_new_router_requests_few_tokens(self):
+        """Guards against a new router that draws a sixth of each total.
 
-        Killed a second later it strands what all others together would need
-        for seconds.
+        It does not know the other routers yet.  If it were killed a second later,
+        tokens that all others together need for seconds would be unusable.
         """
         wallet = Wallet("r1")
         wallet.configure({POUNDS: 1_000_000}, 0.0)
         self.assertEqual(wallet.make_wishes(0.0)[POUNDS].ceiling, 2_000)
 
     def test_cushions_shrink_as_the_total_ends(self):
-        """All routers are killed near the end of an organisation's total.
+        """Guards against losing much of a nearly used total when routers are killed.
 
-        Cushions that lasted for as long as at the start would be a third of
-        what is left, and lost; requests after the restart would be refused.
+        All routers are killed near the end of an organisation's total.  Cushions
+        for the same duration as at the start would be a third of what is left and
+        would be lost, and requests after the restart would be refused.
         """
         purse = Purse(total=4_000_000, keepers=2, left=400_000)
         purse.rate, purse.rated_at, purse.rated_since = 5.0, 0.0, -60_000.0
-        # A tenth is left: 0.45 of a tenth of it, among two keepers.
+        # A tenth is left: two keepers share 0.45 * 0.1 of it.
         self.assertEqual(purse.cushion(0.0), 9_000)
 
-    def test_keepers_hold_most_of_what_is_left_once_its_use_can_be_proved(self):
-        """All routers are cut from the store for 8 s, halfway through a total.
+    def test_keepers_hold_most_of_the_rest_while_use_is_provable(self):
+        """Guards against refusals when all routers lose the store for 8 s.
 
-        What lies free in the store is out of reach then; what keepers hold is not
-        stranded by a kill, for a successor proves how little of it was spent.
+        Free tokens in the store are unreachable then, halfway through a total.
+        Tokens of keepers are not lost when a keeper is killed, because a successor
+        can prove how few of them were spent.
         """
         first = Purse(total=1_000_000, left=500_000, rank=0, provable=True)
         second = Purse(total=1_000_000, left=500_000, rank=1, provable=True)
@@ -106,18 +108,19 @@
         cushions = [one.cushion(0.0) for one in (first, second, other)]
         self.assertEqual(cushions, [275_000, 150_000, 0])
 
-    def test_what_may_be_spent_unproved_shrinks_with_what_is_left(self):
-        """All routers lose power near the end of a total.
+    def test_tokens_spendable_without_proof_shrink_with_the_rest(self):
+        """Guards against losing most of a nearly used total in a power failure.
 
-        What each may spend at any time counts as spent; early in a total the large
-        prompts of a cut need it, near its end it would be most of what is left.
+        When all routers lose power, the tokens that each may spend at any time count
+        as spent.  Early in a total, large prompts need them while the store is
+        unreachable; near its end they would be most of what is left.
         """
         early = Purse(total=1_000_000, left=900_000, ceiling=500_000)
         late = Purse(total=1_000_000, left=100_000, ceiling=55_000)
         self.assertEqual(early.make_use(0.0), Use(0, 54_000, 60_000))
         self.assertEqual(late.make_use(0.0), Use(0, 6_000, 55_000))
 
-    def test_a_router_that_keeps_nothing_hands_back_what_lies_idle(self):
+    def test_a_router_that_is_no_keeper_returns_idle_tokens(self):
         wallet = make_wallet(ceiling=0)
         wallet.purses[POUNDS].rank = None
         wallet.receive(POUNDS, 80)
@@ -128,11 +131,12 @@
         wallet.take_out(POUNDS, 30)
         self.assertEqual(wallet.purses[POUNDS].ready, 0)
 
-    def test_a_router_that_keeps_nothing_spends_at_once_what_it_was_given(self):
-        """A router stops keeping an organisation's tokens, and is asked for many.
+    def test_a_router_that_is_no_keeper_spends_received_tokens_at_once(self):
+        """Guards against unused transferred tokens at a router that is no keeper.
 
-        Held to the pace of a keeper's record, it would ask the keepers for each
-        request anew while what they gave before lies unused.
+        A router that stopped being a keeper serves many requests.  If the pace of
+        its old record still limited it, it would ask the keepers for tokens for each
+        request while tokens that they had transferred stay unused.
         """
         wallet = make_wallet(ceiling=1_000)
         wallet.pace(UseRecord("r1", "ip", 0.0, uses=wallet.make_uses(0.0)))
@@ -145,7 +149,7 @@
         wallet.receive(POUNDS, 500)
         self.assertEqual(purse.available(1.0), 1_500)
 
-    def test_a_router_that_keeps_nothing_draws_only_when_no_keeper_answers(self):
+    def test_a_router_that_is_no_keeper_draws_only_when_no_keeper_answers(self):
         wallet = make_wallet(ceiling=0)
         wallet.purses[POUNDS].rank = None
         wallet.reserve(POUNDS, "a", 60, 0.0)
@@ -159,17 +163,19 @@
         wallet.pace(UseRecord("r1", "ip", 0.0, uses={POUNDS: Use(0, 100, 1_000)}))
         for key in ("a", "b"):
             self.assertFalse(wallet.reserve(POUNDS, key, 200, 0.0))
-        # 100 of 900 more after the root of a ninth of eight seconds, 300 of a third.
+        # Of the other 900 tokens, 100 unlock after 8 s * sqrt(1/9) and 300 after
+        # 8 s * sqrt(1/3).
         self.assertAlmostEqual(wallet.find_wait(POUNDS, "a", 0.0), 8_000.0 / 3)
         self.assertAlmostEqual(
             wallet.find_wait(POUNDS, "b", 0.0), 8_000.0 * (1 / 3) ** 0.5
         )
 
-    def test_a_router_keeps_to_every_record_that_may_be_in_the_store(self):
-        """A record of use is written, and its answer is lost.
+    def test_spending_obeys_every_record_that_may_be_stored(self):
+        """Guards against spending more than the record of use in the store allows.
 
-        It may take effect or not.  A router that kept to one of the two only could
-        spend more than whoever ends its share after a crash counts.
+        The response to the write of a record is lost, so it may take effect or not.
+        If the router obeyed only one of the two records, it could spend more than is
+        counted when its share is ended after a crash.
         """
         wallet = make_wallet(ceiling=1_000)
         uses = [Use(0, 300, 1_000), Use(100, 50, 900)]
@@ -186,12 +192,12 @@
         wallet.pace(UseRecord("r1", "ip", 0.0, uses={POUNDS: Use(0, 100, 1_000)}))
         self.assertFalse(wallet.reserve(POUNDS, "a", 400, 0.0))
         self.assertFalse(wallet.is_waited_for(0.0))
-        # A third of the other 900 after the root of a third of eight seconds.
+        # A third of the other 900 tokens unlocks after 8 s * sqrt(1/3).
         wait = wallet.purses[POUNDS].find_wait(400, 0.0)
         self.assertAlmostEqual(wait, 8_000.0 * (1 / 3) ** 0.5)
         self.assertTrue(wallet.reserve(POUNDS, "a", 400, wait + 5.0))
 
-    def test_what_waits_is_recorded_as_if_spent(self):
+    def test_waiting_requests_are_recorded_as_spent(self):
         wallet = make_wallet(ceiling=1_000)
         wallet.purses[POUNDS].waiting["a"] = 400
         use = wallet.make_uses(0.0)[POUNDS]
@@ -215,10 +221,11 @@
         self.assertFalse(wallet.wants_change(1_500.0))
         self.assertTrue(wallet.wants_change(2_500.0))
 
-    def test_one_write_tells_what_is_free_for_every_organisation(self):
-        """Requests of many organisations come, each near the end of its total.
+    def test_one_write_returns_the_free_tokens_of_every_organisation(self):
+        """Guards against one billed write per organisation.
 
-        The write that was made for the first told what is free for all of them.
+        Requests of many organisations arrive, each near the end of its total.  The
+        write made for the first returned the free tokens of all of them.
         """
         wallet = Wallet("r1")
         names = ("inns", POUNDS)
@@ -230,17 +237,17 @@
         self.assertTrue(wallet.is_dry(POUNDS, 500.0))
         self.assertTrue(wallet.is_waited_for(2_000.0))
 
-    def test_what_is_free_may_make_up_what_lies_ready(self):
+    def test_free_tokens_supplement_held_tokens(self):
         wallet = Wallet("r1")
         wallet.configure({POUNDS: 1_000}, 0.0)
         shares = {"r1": Share(40, 0)}
         known = Allotment(1_000, 1, closed=930, shares=shares)
         wallet.take(Allotments({POUNDS: known}), 0.0)
-        # Forty lie ready and thirty are free: enough for sixty.
+        # 40 tokens are held and 30 are free, enough for 60.
         self.assertFalse(wallet.reserve(POUNDS, "a", 60, 500.0))
         self.assertTrue(wallet.is_waited_for(500.0))
 
-    def test_a_total_that_grows_is_looked_at_at_once(self):
+    def test_an_increased_total_is_drawn_from_at_once(self):
         wallet = Wallet("r1")
         wallet.configure({POUNDS: 1_000}, 0.0)
         known = Allotment(1_000, 1, closed=1_000)
