--- a/anvilshift/core/exposure.py
+++ b/anvilshift/core/exposure.py
@@ -95,7 +95,7 @@
             del self._charges[content]
 
     def keep_running(self) -> None:
-        """Make the charges of all attempts in progress permanent until cleared."""
+        """Keep the targets of all attempts in progress charged after they end."""
         for charges in self._charges.values():
             charges.kept |= set(charges.running)
 
