--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -104,7 +104,7 @@
             "if True:\n            return None",
         ),
     ),
-    "retries": (Patch("core/retries.py", "if self._left < 1.0:", "if True:"),),
+    "retries": (Patch("core/retries.py", "if self._available < 1.0:", "if True:"),),
 }
 
 
