--- a/anvilshift/gateway/attempts.py
+++ b/anvilshift/gateway/attempts.py
@@ -1,7 +1,7 @@
-"""Send a request to one target, and say what became of it.
+"""Send a request to one target, and report the outcome of the attempt.
 
-Every send, first byte and end goes into this router's load map and to the
-other routers, whatever comes of the attempt.
+The start, first byte and end of every attempt are recorded in this router's load map
+and sent to the other routers, whatever the attempt's outcome.
 """
 
 import contextlib
@@ -20,25 +20,25 @@
 from anvilshift.wire.client import ExchangeError, HttpClient, Response
 from anvilshift.wire.messages import Address, Headers, HttpRequest
 
-_MOST_FIELDS = 64
-"""Names of answers' fields that are logged once each; more would be noise."""
-_MOST_VALUE = 80
-"""Characters of such a field's value in the log."""
+_MAX_LOGGED_FIELDS = 64
+"""Names of answers' header fields that are logged, once each; more would be noise."""
+_MAX_LOGGED_VALUE = 80
+"""Characters of a header field's value that are logged."""
 
 
 class AttemptError(Exception):
-    """An attempt failed before anything of it could be used.
+    """An attempt failed: it gave no answer, or none that is complete and valid.
 
     Parameters
     ----------
     failure
         Whether the target may have run the request.
     detail
-        What happened.
+        Description of the failure, for the log and the caller.
     replaced
-        Whether another target was found at the address.
+        Whether another target answered at the address.
     answered
-        Whether the target answered, though with nothing that can be used.
+        Whether the target sent an answer, but an unusable one.
     """
 
     def __init__(
@@ -56,20 +56,22 @@
 
     @property
     def never_ran(self) -> bool:
-        """Tell whether the target certainly did not run the request."""
+        """Return whether the target certainly did not run the request."""
         return self.failure in (Failure.NOT_SENT, Failure.REJECTED)
 
 
 @dataclass(frozen=True)
 class Outgoing:
-    """One request as it goes to one target.
+    """One request as it is sent to one target.
 
     Parameters
     ----------
     run
-        Names the attempt among all routers'.
+        Id of the attempt, unique among all routers.
+    identity
+        Id of the caller's attempt.
     capacity
-        Tokens that the target's memory holds; 0 for a plain service.
+        Tokens that fit into the target's prompt cache; 0 for a plain service.
     """
 
     run: str
@@ -94,7 +96,7 @@
 
 @dataclass
 class Sender:
-    """Send attempts of this router."""
+    """Send this router's attempts, and report their progress to the other routers."""
 
     client: HttpClient
     dialect: Dialect
@@ -103,50 +105,61 @@
     clock: Clock
     journal: Journal
     limits: LimitBook
-    _fields: set[str] = field(default_factory=set)
+    _logged_fields: set[str] = field(default_factory=set)
 
     @contextlib.asynccontextmanager
     async def send(self, outgoing: Outgoing) -> AsyncIterator[Answer]:
-        """Send a request and give its answer once the head has arrived.
+        """Send a request and yield its answer once the headers have arrived.
 
         Raises
         ------
         AttemptError
-            When there is no answer to this request, or the target states that
-            it did not run it.
+            When no answer to this request arrives, or the target states that it did
+            not run the request.
         """
-        self._note_send(outgoing)
+        self._record_send(outgoing)
         sent = self.clock.now()
         try:
             async with self._exchange(outgoing) as response:
                 self._log_fields(outgoing, response.headers)
                 notes = self.dialect.read_notes(response.status, response.headers)
-                self._note_limit(outgoing, notes, sent)
-                _check(outgoing, notes)
+                self._record_limit(outgoing, notes, sent)
+                _check_answer(outgoing, notes)
                 yield Answer(response.status, response.headers, notes, response)
         except ExchangeError as error:
             failure = Failure.BROKE_OFF if error.sent else Failure.NOT_SENT
             raise AttemptError(failure, str(error)) from error
         finally:
-            self._note_end(outgoing)
+            self._record_end(outgoing)
 
     def _log_fields(self, outgoing: Outgoing, headers: Headers) -> None:
-        """Log each field that no answer bore before: what targets say of themselves."""
+        """Log each header field name that no earlier answer had.
+
+        Targets may announce requirements in header fields that are unknown here.
+        """
         for name, value in headers.pairs:
-            if name not in self._fields and len(self._fields) < _MOST_FIELDS:
-                self._fields.add(name)
+            if (
+                name not in self._logged_fields
+                and len(self._logged_fields) < _MAX_LOGGED_FIELDS
+            ):
+                self._logged_fields.add(name)
                 self.journal.write(
                     "answer_field",
                     name=name,
-                    value=value[:_MOST_VALUE],
+                    value=value[:_MAX_LOGGED_VALUE],
                     id=outgoing.identity,
                     target=outgoing.choice.target.info.name,
                 )
 
-    def _note_limit(self, outgoing: Outgoing, notes: Notes, sent: Millis) -> None:
-        """Take in what a target names, or no longer names, of its own need."""
-        ours = notes.identity in (None, outgoing.identity) and not notes.misdirected
-        if not ours:
+    def _record_limit(self, outgoing: Outgoing, notes: Notes, sent: Millis) -> None:
+        """Record the rate limit or pause that a target states.
+
+        A signed answer without a limit withdraws the limit that was stated before.
+        """
+        is_matching = (
+            notes.identity in (None, outgoing.identity) and not notes.misdirected
+        )
+        if not is_matching:
             return
         name = outgoing.choice.target.info.name
         if notes.signed or notes.limit is not None:
@@ -169,7 +182,7 @@
             host=outgoing.host,
         )
 
-    def _note_send(self, outgoing: Outgoing) -> None:
+    def _record_send(self, outgoing: Outgoing) -> None:
         info, prompt = outgoing.choice.target.info, outgoing.prompt
         name = info.name
         cached, now = outgoing.choice.cached, self.clock.now()
@@ -186,39 +199,41 @@
             cached,
             disturbing,
         )
-        self._tell(sent, outgoing)
-        self._tell_held(outgoing)
+        self._tell_routers(sent, outgoing)
+        self._tell_newly_cached(outgoing)
 
-    def _tell_held(self, outgoing: Outgoing) -> None:
-        """Tell routers far away what a target's memory did not hold before.
+    def _tell_newly_cached(self, outgoing: Outgoing) -> None:
+        """Tell distant routers which shared parts a target has newly cached.
 
-        They are not told of the run.  Each would have the part read again at a target
-        of its own, although it could be fetched, or the prompt be sent there.
+        They get no report of the run itself.  Without this message each of them would
+        have the part computed again at a target near it, although the part could be
+        fetched from this target or the prompt be sent to it.
         """
         choice, shared = outgoing.choice, outgoing.prompt.parts[:-1]
         fetched = choice.fetch_from is not None
-        news = fetched or choice.cached < sum(tokens for _, tokens in shared)
-        if shared and news and not self.peers.small:
+        is_newly_cached = fetched or choice.cached < sum(tokens for _, tokens in shared)
+        if shared and is_newly_cached and not self.peers.small:
             info = choice.target.info
             self.peers.tell_far(Held(info.name, shared), info.failure_domain)
 
-    def note_begin(self, outgoing: Outgoing) -> None:
-        """Take in that the target began to answer."""
+    def record_first_byte(self, outgoing: Outgoing) -> None:
+        """Record that the target began to answer, and tell the other routers."""
         name = outgoing.choice.target.info.name
         self.loads.begin(name, outgoing.run, self.clock.now())
         if self.peers.small:
             self.peers.tell(Begun(outgoing.run, name))
 
-    def _note_end(self, outgoing: Outgoing) -> None:
+    def _record_end(self, outgoing: Outgoing) -> None:
         name = outgoing.choice.target.info.name
         self.loads.end(name, outgoing.run)
-        self._tell(Ended(outgoing.run, name), outgoing)
+        self._tell_routers(Ended(outgoing.run, name), outgoing)
 
-    def _tell(self, message: Sent | Ended, outgoing: Outgoing) -> None:
-        """Tell the routers that may send work to the same target.
+    def _tell_routers(self, message: Sent | Ended, outgoing: Outgoing) -> None:
+        """Send a message to the routers that may send requests to the same target.
 
-        In a larger fleet only those near it, and only of model engines: a request at
-        a plain service has ended about as soon as it was told of.
+        In a larger fleet these are only the routers near it, and only model engines
+        are reported: a request at a plain service ends about as soon as the message
+        arrives.
         """
         if self.peers.small:
             self.peers.tell(message)
@@ -227,15 +242,24 @@
             self.peers.tell_near(message, domain, soon=isinstance(message, Sent))
 
 
-def _check(outgoing: Outgoing, notes: Notes) -> None:
-    """Refuse what isn't the answer to this request."""
+def _check_answer(outgoing: Outgoing, notes: Notes) -> None:
+    """Check that the answer is one to this request.
+
+    Raises
+    ------
+    AttemptError
+        When it answers another request, another target has the address, or the target
+        states that it did not run the request.
+    """
     if notes.identity is not None and notes.identity != outgoing.identity:
-        # A second answer to an earlier request came late on a kept connection.
-        # Taken for this one's, a caller would get another's answer.
-        detail = "an answer to another request"
+        # A duplicate answer to an earlier request can arrive late on a reused
+        # connection.  Relaying it would give this caller another caller's answer.
+        detail = "the answer belongs to another request"
         raise AttemptError(Failure.BROKE_OFF, detail, answered=True)
     if notes.misdirected:
-        detail = "another target has the address"
+        detail = "another target answered at the address"
         raise AttemptError(Failure.REJECTED, detail, replaced=True)
     if notes.not_run:
-        raise AttemptError(Failure.REJECTED, "the target did not run it")
+        raise AttemptError(
+            Failure.REJECTED, "the target states that it did not run the request"
+        )
--- a/anvilshift/gateway/border.py
+++ b/anvilshift/gateway/border.py
@@ -1,7 +1,7 @@
-"""What the gateway needs of a deployment's own dialect, as typed values.
+"""The interface between the gateway and the formats of one platform.
 
-A dialect turns headers, stored objects and settings of one platform into these
-values and back.  It decides nothing.
+A dialect converts the headers, stored objects and settings of one platform into the
+typed values of this module and back.  It makes no decisions.
 """
 
 from collections.abc import Mapping
@@ -18,18 +18,18 @@
 
 @dataclass(frozen=True)
 class Call:
-    """What a caller's headers say.
+    """The fields of a caller's request that the gateway uses.
 
     Parameters
     ----------
     identity
-        Names this attempt of the caller; each attempt has its own.
+        Id of this attempt; each attempt of the caller has its own.
     credential
-        The caller's key, if it sent one.
+        The caller's API key, if it sent one.
     patience
-        Milliseconds that the caller waits; None where it doesn't say.
+        Milliseconds that the caller waits for the answer; None if it states no time.
     resume_after
-        Id of the last event that the caller has, when it resumes a stream.
+        Id of the last event that the caller received, when it resumes a stream.
     """
 
     identity: str
@@ -42,22 +42,23 @@
 
 @dataclass(frozen=True)
 class Delivery:
-    """What a target is told beside the caller's own request.
+    """The fields that the gateway adds to a request that it sends to a target.
 
     Parameters
     ----------
     expected
-        The target that is meant; another one at its address must refuse.
+        Name of the target; a different target at the same address must refuse the
+        request.
     organisation
-        Who pays; None for an anonymous request.
+        The organisation that pays; None for an anonymous request.
     remaining
         Milliseconds until the caller's deadline.
     priority
-        Rank at a model engine, 0 is first; None leaves it to the engine.
+        Rank in the queue of a model engine, 0 is first; None leaves it to the engine.
     fetch_from
-        Address of an engine whose memory holds more of the prompt.
+        Address of an engine that has a longer prefix of the prompt in its cache.
     resume_after
-        Id of the last event that was received.
+        Id of the last event that was received of the stream, if it is resumed.
     """
 
     expected: str
@@ -70,23 +71,23 @@
 
 @dataclass(frozen=True)
 class Notes:
-    """What a target's answer says beside its status and body.
+    """The fields of a target's answer that the gateway uses.
 
     Parameters
     ----------
     identity
-        The request that it answers.
+        Id of the request that it answers; None if the answer states none.
     signed
-        Whether the target vouches for the answer.
+        Whether the answer bears the target's signature.
     not_run
         Whether the target states that it did not run the request.
     misdirected
-        Whether another target than the expected one has the address.
+        Whether a different target than the expected one has the address.
     limit
-        Requests a second that the target takes from all routers together; None
-        where it names none, NaN where what it names can't be read.
+        Requests a second that the target accepts from all routers together; None
+        if it states no limit, NaN if the stated limit can't be read.
     pause
-        Time for which a target that refused takes no request, if it says so.
+        Time for which a target that refused accepts no request, if it states one.
     """
 
     identity: str | None
@@ -98,7 +99,15 @@
 
 
 class Dialect(Protocol):
-    """A deployment's names for what the gateway deals with."""
+    """The conversions for one platform.
+
+    Attributes
+    ----------
+    configuration_kind, configuration_name
+        Kind and name of the stored object that holds the configuration.
+    targets_kind
+        Kind of the stored objects that register targets.
+    """
 
     configuration_kind: str
     configuration_name: str
@@ -110,17 +119,17 @@
         Raises
         ------
         AnvilshiftError
-            Code 5003 when the object is something else.
+            Code 5003 when the object holds no valid configuration.
         """
 
     def read_target(self, name: str, body: Raw, now: Millis) -> TargetInfo | None:
-        """Return the target that an entry registers; None if it names none."""
+        """Return the target that a stored object registers; None if it has none."""
 
     def read_call(self, request: HttpRequest) -> Call:
-        """Return what a caller's headers say."""
+        """Return the fields of a caller's request."""
 
     def write_delivery(self, request: HttpRequest, delivery: Delivery) -> Fields:
-        """Return the headers with which a request goes to a target."""
+        """Return the headers of the request that is sent to a target."""
 
     def read_notes(self, status: int, headers: Headers) -> Notes:
-        """Return what a target's answer says of itself."""
+        """Return the fields of a target's answer."""
--- a/anvilshift/gateway/conversation.py
+++ b/anvilshift/gateway/conversation.py
@@ -1,4 +1,4 @@
-"""What this router tells the others, and what it does with what they tell."""
+"""Send this router's messages to the others, and handle the messages they send."""
 
 import asyncio
 from collections.abc import Callable
@@ -37,19 +37,20 @@
 from anvilshift.gateway.settings import GatewaySettings
 from anvilshift.gateway.shared import Shared
 
-_FAREWELLS = 3
-"""Copies of a datagram that is sent once in a router's life and may be lost."""
+_FAREWELL_COPIES = 3
+"""Copies of the final message: its datagram may be lost, and a router that has stopped
+can't send it again."""
 
 
 @dataclass
-class Conversation:
-    """The talk of one router with the others.
+class PeerMessenger:
+    """Exchange messages between this router and the others.
 
     Parameters
     ----------
     is_ready, is_leaving, is_fresh
-        Whether this router takes new callers, stops as planned, and heard from
-        the store lately.
+        Return whether this router accepts new callers, whether it is stopping as
+        planned, and whether the store has answered it recently.
     """
 
     settings: GatewaySettings
@@ -67,7 +68,7 @@
     is_ready: Callable[[], bool]
     is_leaving: Callable[[], bool]
     is_fresh: Callable[[], bool]
-    _lending: set[asyncio.Task[None]] = field(default_factory=set)
+    _lending_tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     def make_beat(self) -> Beat:
         """Return this router's heartbeat."""
@@ -88,7 +89,7 @@
     # Tokens
 
     def note_routers(self) -> None:
-        """Take in which routers are there, and so who keeps tokens."""
+        """Update the set of present routers, and with it the keepers of tokens."""
         peers = self.peers.list_present()
         names = {one.beat.router for one in peers if not one.beat.leaving}
         if not self.is_leaving():
@@ -105,7 +106,13 @@
     def ask_for_tokens(
         self, keeper: str, number: int, organisation: str, tokens: int
     ) -> bool:
-        """Ask a keeper for tokens; tell whether it is there."""
+        """Ask a keeper for tokens.
+
+        Returns
+        -------
+        bool
+            Whether the request was sent; False if the keeper is not present.
+        """
         peer = self.peers.routers.get(keeper)
         if peer is None:
             return False
@@ -116,22 +123,22 @@
         return True
 
     def return_idle(self) -> None:
-        """Hand what lies idle here to the keepers."""
+        """Return the unused tokens of this router to the keepers."""
         for gift, ip in self.reservations.return_idle(self._find_keeper):
             self.peers.send(gift, ip)
 
     def _find_keeper(self, organisation: str) -> tuple[str, str] | None:
-        """Return the incarnation and address of a keeper that is there."""
+        """Return the incarnation and address of a keeper that is present."""
         for name in self.keepers.list_others(organisation):
             peer = self.peers.routers.get(name)
             if peer is not None:
                 return peer.beat.incarnation, peer.beat.ip
         return None
 
-    def _hear_ask(self, ask: Ask) -> None:
+    def _handle_ask(self, ask: Ask) -> None:
         task = asyncio.get_running_loop().create_task(self._lend(ask))
-        self._lending.add(task)
-        task.add_done_callback(self._lending.discard)
+        self._lending_tasks.add(task)
+        task.add_done_callback(self._lending_tasks.discard)
 
     async def _lend(self, ask: Ask) -> None:
         answer = await self.reservations.lend(ask)
@@ -139,7 +146,7 @@
             self.peers.send(answer, ask.ip)
 
     def hear(self, message: Message) -> None:
-        """Take in what another router tells."""
+        """Handle a message of another router."""
         now = self.clock.now()
         if isinstance(message, Sent):
             prompt = Prompt(message.parts, message.tokens, message.most_answer)
@@ -161,11 +168,11 @@
         elif isinstance(message, Ended):
             self.loads.end(message.target, message.run)
         elif isinstance(message, Leaving):
-            self._hear_leaving(message.target)
+            self._mark_leaving(message.target)
         elif isinstance(message, Blamed):
             self.shared.blame.hear(message.content, message.target, now)
         elif isinstance(message, Ask):
-            self._hear_ask(message)
+            self._handle_ask(message)
         elif isinstance(message, Gift):
             self.reservations.take_gift(message)
         elif isinstance(message, Lack):
@@ -195,17 +202,19 @@
         service = table.configuration.services.get(known.info.service)
         return service.model.cache_tokens if service and service.model else 0
 
-    def _hear_leaving(self, target: str) -> None:
+    def _mark_leaving(self, target: str) -> None:
         known = self.loads.targets.get(target)
         if known is not None and not known.info.leaving:
             self.journal.write("target_leaving", target=target, told=True)
             self.loads.declare(replace(known.info, leaving=True))
 
     def greet(self, beat: Beat) -> None:
-        """Tell a new router what is known of its host's former incarnations.
+        """Send a new router what it needs to know of the time before its start.
 
-        And of the store's history: it could prove nothing of its own records before
-        it had followed the store for as long as the history lasts.
+        These are the spending of former incarnations of its host, the marks of the
+        store's history, and the limits of targets.  Without marks from others it could
+        not prove the age of its own records until it had followed the store for as
+        long as the store keeps its history.
         """
         for holder, spent in self.allotter.ended.items():
             if holder.rpartition(".")[0] == beat.router:
@@ -219,33 +228,40 @@
             self.peers.send(limited, beat.ip)
 
     def tell_mark(self, mark: Mark) -> None:
-        """Tell the others what this router learned of the store's history."""
+        """Send the other routers a new mark of the store's history."""
         age = self.clock.now() - mark.followed
         self.peers.tell(Marked(((mark.revision, age),)))
 
     def say_farewell(self) -> None:
-        """Tell the others what was spent; from now on nothing is."""
+        """Send the other routers this router's final spending.
+
+        Nothing may be spent after this call.
+        """
         farewell = Farewell(self.incarnation, tuple(self.allotter.list_spent().items()))
         for peer in self.peers.list_present():
-            for _ in range(_FAREWELLS):
+            for _ in range(_FAREWELL_COPIES):
                 self.peers.send(farewell, peer.beat.ip)
 
     def lose(self, peer: Peer) -> None:
-        """Take in that a router is gone, and its runs with it."""
+        """Remove the runs of a router that is lost."""
         self.loads.forget_runs(f"{peer.beat.incarnation}/")
 
     def note_replaced(self, name: str) -> None:
-        """Take in that another target has a target's address.
+        """Stop using a target whose address another target has taken over.
 
-        Its entry in the store stays for some seconds.  Were it still used, each
-        request would find out anew, and use up the retries of all.
+        The old target's entry stays in the store for some seconds.  If the routers
+        went on using it, each request there would fail and take a retry from the
+        budget that all requests share.
         """
         self.note_lost(name)
-        self._hear_leaving(name)
+        self._mark_leaving(name)
         self.peers.tell(Leaving(name))
 
     def note_lost(self, name: str) -> None:
-        """Blame what was running at a target that is found gone."""
+        """Blame the content that was running at a target that is found lost.
+
+        The other routers are told of each blamed content.
+        """
         for content in self.shared.blame.lost(name, self.clock.now()):
             self.journal.write("content_blamed", content=content, target=name)
             self.peers.tell(Blamed(content, name))
--- a/anvilshift/gateway/crashes.py
+++ b/anvilshift/gateway/crashes.py
@@ -1,4 +1,8 @@
-"""Bound what one request's content costs, and find out which targets it crashed."""
+"""Bound the number of targets that one request's content can crash.
+
+Requests are identified by a digest of their content, and targets that stop accepting
+connections after a broken answer are attributed to the content that ran there.
+"""
 
 import hashlib
 
@@ -12,30 +16,34 @@
 from anvilshift.gateway.shared import Shared
 from anvilshift.wire.messages import Address, HttpRequest
 
-_CHECK: Millis = 300.0
-"""How long a target may take to accept a connection, which takes 4 ms."""
+_CONNECT_TIMEOUT: Millis = 300.0
+"""Time within which a target must accept a connection; a healthy one takes 4 ms."""
 
 
 def digest_request(request: HttpRequest, organisation: str) -> str:
-    """Return what names a request however often it is sent."""
+    """Return a digest that is the same for each repetition of a request.
+
+    It covers the request target, the organisation and the body, but no headers, since
+    each attempt has an id of its own.
+    """
     hasher = hashlib.sha256(request.target.encode("latin-1"))
     hasher.update(organisation.encode())
     hasher.update(request.body)
     return hasher.hexdigest()[:24]
 
 
-class CrashWatch:
-    """One request's content, and the targets that it may have crashed.
+class CrashTracker:
+    """Track the targets that one request's content may have crashed.
 
     Parameters
     ----------
     content
-        Names the request however often it is sent.
+        Digest of the request, the same for each repetition.
     """
 
     def __init__(self, shared: Shared, content: str) -> None:
         self._shared = shared
-        self._book = shared.blame
+        self._blame = shared.blame
         self._content = content
 
     def check(self) -> None:
@@ -44,54 +52,60 @@
         Raises
         ------
         AnvilshiftError
-            When it must not run any more.
+            When the content is quarantined.
         """
-        if self._book.is_poison(self._content, self._shared.clock.now()):
+        if self._blame.is_poison(self._content, self._shared.clock.now()):
             raise AnvilshiftError(QUARANTINED)
 
-    def list_barred(self, service: str, prompt: Prompt) -> set[str]:
-        """Return the targets of a service that the content may not reach.
+    def list_forbidden(self, service: str, prompt: Prompt) -> set[str]:
+        """Return the targets of a service to which the content may not be sent.
 
-        Until it was answered whole it may reach its homes only, whatever this router
-        knows: others that can't be told send copies of it as well.
+        Until it has been answered completely, the content may be sent only to its
+        home targets, which every router computes alike.  Routers that can't exchange
+        messages may send copies of it, and would otherwise each choose other targets.
         """
-        loads, exposure = self._shared.sender.loads, self._book.exposure
+        loads, exposure = self._shared.sender.loads, self._blame.exposure
         if exposure.is_harmless(self._content):
             return set()
         domains = loads.list_domains(service, self._shared.clock.now())
-        homes = choose_homes(self._find_key(prompt), domains, CRASHES)
+        homes = choose_homes(self._get_home_key(prompt), domains, CRASHES)
         reached = exposure.list_reached(self._content)
         allowed = [*reached, *(name for name in homes if name not in reached)]
         present = {target.info.name for target in loads.of_service(service)}
         return present - set(allowed[: max(CRASHES, len(reached))])
 
-    def _find_key(self, prompt: Prompt) -> str:
-        """Return what fixes the content's homes.
+    def _get_home_key(self, prompt: Prompt) -> str:
+        """Return the key from which the content's home targets are computed.
 
-        Prompts that share all parts but the last meet where these are cached.
+        Prompts that share all parts but the last get the same home targets, so the
+        shared parts are cached there.
         """
         shared = prompt.parts[:-1]
         return shared[-1][0] if shared else self._content
 
-    def begin(self, target: str) -> None:
-        """Charge a target that the content is about to be sent to."""
-        self._book.exposure.charge(self._content, target, self._shared.clock.now())
+    def charge_target(self, target: str) -> None:
+        """Charge the content with a target to which it is about to be sent."""
+        self._blame.exposure.charge(self._content, target, self._shared.clock.now())
 
     def end(self, target: str, ran: bool) -> None:
-        """Take in that an attempt ended, and whether it may have run."""
-        self._book.exposure.end(self._content, target, ran)
+        """Record that an attempt ended, and whether the target may have run it."""
+        self._blame.exposure.end(self._content, target, ran)
 
     def clear(self) -> None:
-        """Take in that the content was answered whole."""
-        self._book.clear(self._content)
+        """Clear the content of suspicion, since it was answered completely."""
+        self._blame.clear(self._content)
+
+    async def check_failure(self, target: TargetLoad, error: AttemptError) -> None:
+        """Find out whether a failed attempt crashed its target.
 
-    async def look(self, target: TargetLoad, error: AttemptError) -> None:
-        """Blame the content for the targets that it broke off at and that are gone.
+        A broken answer alone proves nothing, so the targets at which the content
+        broke off are checked for whether they still accept connections.  The content
+        is blamed for those that do not.
 
         Raises
         ------
         AnvilshiftError
-            When it must not run any more.
+            When the content is now quarantined.
         """
         shared, info = self._shared, target.info
         if error.replaced:
@@ -100,17 +114,17 @@
             shared.note_lost(info.name)
         elif error.failure is Failure.BROKE_OFF and not error.answered:
             now = shared.clock.now()
-            for name in self._book.broke(self._content, info.name, now):
+            for name in self._blame.broke(self._content, info.name, now):
                 await self._probe(name)
         self.check()
 
     async def _probe(self, name: str) -> None:
-        """Find out whether a target still accepts connections."""
+        """Check whether a target accepts connections, and report it as lost if not."""
         shared = self._shared
         known = shared.sender.loads.targets.get(name)
         if known is None:
             shared.note_lost(name)
             return
         address = Address.parse(known.info.address)
-        if not await shared.sender.client.check(address, _CHECK):
+        if not await shared.sender.client.check(address, _CONNECT_TIMEOUT):
             shared.note_lost(name)
--- a/anvilshift/gateway/journal.py
+++ b/anvilshift/gateway/journal.py
@@ -1,8 +1,8 @@
-"""Structured log lines on standard output, bounded and never waited for.
+"""Write structured log lines to standard output, rate-limited and without blocking.
 
-One JSON object a line.  Under load each kind of line is bounded a second, and
-the next line of that kind says how many were left out.  When nobody reads the
-output, lines are dropped and counted; serving goes on.
+Each line is one JSON object.  The number of lines of one kind is limited each second;
+the next line of that kind says how many were left out.  When the reader of the output
+stalls, lines are dropped and counted, and the process continues.
 """
 
 import json
@@ -13,36 +13,41 @@
 from anvilshift.core.clock import SECOND, Clock, Millis
 
 LINES_A_SECOND = 60
-"""Most lines of one kind a second: a router handles about as many requests, and a
-line costs it about 20 us."""
+"""Lines of one kind that are written each second: a router handles about as many
+requests, and a line takes it about 20 us."""
 
 
 class Journal:
-    """Write log lines of one process.
+    """Write the log lines of one process.
 
     Parameters
     ----------
     node
-        Name of the process in each line.
+        Name of the process, written into each line.
     output
-        File descriptor; it is made non-blocking.
+        File descriptor to write to; it is made non-blocking.
+
+    Attributes
+    ----------
+    dropped
+        Number of lines that could not be written.
     """
 
     def __init__(self, node: str, clock: Clock, output: int = 1) -> None:
         self._node = node
         self._clock = clock
         self._output = output
-        self._second: Millis = 0.0
+        self._second_start: Millis = 0.0
         self._counts: dict[str, int] = {}
         self._left_out: dict[str, int] = {}
         self.dropped = 0
         os.set_blocking(output, False)
 
     def write(self, event: str, /, **fields: Any) -> None:
-        """Write a line of one kind, unless too many came in this second."""
+        """Write a line of one kind, unless this second's limit is reached."""
         now = self._clock.now()
-        if now - self._second >= SECOND:
-            self._second, self._counts = now, {}
+        if now - self._second_start >= SECOND:
+            self._second_start, self._counts = now, {}
         count = self._counts.get(event, 0)
         self._counts[event] = count + 1
         if count >= LINES_A_SECOND:
@@ -52,12 +57,12 @@
         if left_out:
             fields["left_out"] = left_out
         line = {"at": round(now), "wall": round(time.time(), 3), "node": self._node}
-        self._put(json.dumps({**line, "event": event, **fields}) + "\n")
+        self._write_output(json.dumps({**line, "event": event, **fields}) + "\n")
 
-    def _put(self, line: str) -> None:
+    def _write_output(self, line: str) -> None:
         try:
             os.write(self._output, line.encode())
         except OSError:
-            # A reader that stalls fills the pipe: the line is given up, for the
-            # loop must go on; the count shows in the metrics.
+            # A reader that stalls fills the pipe.  The line is dropped and counted,
+            # since waiting would block the event loop.
             self.dropped += 1
--- a/anvilshift/gateway/node.py
+++ b/anvilshift/gateway/node.py
@@ -1,4 +1,4 @@
-"""One gateway without its process: the parts, joined and started in order."""
+"""Assemble the parts of one gateway, start them and stop them."""
 
 import asyncio
 import random
@@ -18,12 +18,12 @@
 from anvilshift.gateway.allotting import Allotter
 from anvilshift.gateway.attempts import Sender
 from anvilshift.gateway.border import Dialect
-from anvilshift.gateway.conversation import Conversation
+from anvilshift.gateway.conversation import PeerMessenger
 from anvilshift.gateway.following import Follower, Pace, find_stretch
 from anvilshift.gateway.intake import TargetIntake
 from anvilshift.gateway.journal import Journal
 from anvilshift.gateway.limits import LimitBook
-from anvilshift.gateway.passing import Passage
+from anvilshift.gateway.passing import RequestHandler
 from anvilshift.gateway.peers import Hooks, Peers
 from anvilshift.gateway.permits import Permits
 from anvilshift.gateway.recording import Recorder
@@ -35,28 +35,31 @@
 from anvilshift.wire.messages import HttpRequest, Limits
 from anvilshift.wire.server import CallerGoneError, HttpServer, Responder, render_error
 
-_FOLLOW_CONFIGURATION = Pace(wait=1.5 * SECOND)
-_FOLLOW_TARGETS = Pace(wait=1.5 * SECOND, rest=500.0)
-"""Engines renew their entries many times a second; looked at together, a leaving
-one is seen within half a second of the two that it gives."""
-_KEEP_ADDRESSES: Millis = 1 * SECOND
-"""How long callers keep an address answer, some three times as long: a leaving
-router must serve them for three of these within its grace of 8 s."""
-_KEEP_ADDRESSES_LARGE: Millis = 2 * SECOND
-"""The same in a larger fleet, where a lost router takes few callers with it, and
-hundreds of callers ask."""
-_TAKE_STREAMS: Millis = 2_900.0
-"""How long a stopping router takes new streams: one that lasts for four seconds still
-ends within the grace."""
-_TICK: Millis = 100.0
-_LAPSE: Millis = 700.0
-"""A loop that was held up for so long was frozen or suspended, not merely busy."""
+_CONFIGURATION_PACE = Pace(wait=1.5 * SECOND)
+_TARGETS_PACE = Pace(wait=1.5 * SECOND, rest=500.0)
+"""Engines renew their entries many times a second, so changes are read in batches.
+An engine announces its departure two seconds ahead; a rest of 500 ms uses half a
+second of these."""
+_ADDRESS_TTL: Millis = 1 * SECOND
+"""Time for which callers may cache the list of addresses.  Some keep it three times
+as long, so a stopping router must serve for three of these periods within its grace
+period of 8 s."""
+_ADDRESS_TTL_LARGE_FLEET: Millis = 2 * SECOND
+"""The same in a larger fleet, where the loss of a router affects few callers and
+hundreds of callers request the list."""
+_ACCEPT_STREAMS: Millis = 2_900.0
+"""How long a stopping router accepts new streams: a stream of four seconds still ends
+within the grace period."""
+_TICK_INTERVAL: Millis = 100.0
+_SUSPENDED_AFTER: Millis = 700.0
+"""An event loop that was delayed for longer was frozen or suspended, not merely
+busy."""
 _BODY_TIMEOUT: Millis = 10 * SECOND
 
 
 @dataclass(frozen=True)
 class Entrances:
-    """Where callers may connect."""
+    """The addresses that callers may connect to, and how long they may cache them."""
 
     addresses: tuple[str, ...]
     keep: Millis
@@ -68,7 +71,8 @@
     Parameters
     ----------
     born
-        When its process had begun to run, by the clock, if it is alone in it.
+        Reading of the clock by which its process had started; None when the process
+        runs other nodes as well.
     """
 
     def __init__(
@@ -136,7 +140,7 @@
             settings.failure_domain,
             RetryBudget(settings.find_retry_reserve(1)),
         )
-        self.talk = self._make_conversation()
+        self.messenger = self._make_messenger()
         self.targets = TargetIntake(
             dialect,
             self.loads,
@@ -144,33 +148,33 @@
             self.peers,
             clock,
             journal,
-            self.talk.note_lost,
+            self.messenger.note_lost,
         )
-        self.configuring = Follower(
+        self.configuration_follower = Follower(
             store,
             dialect.configuration_kind,
-            _FOLLOW_CONFIGURATION,
+            _CONFIGURATION_PACE,
             clock,
             journal,
-            self._take_configuration,
+            self._apply_change,
         )
-        self.registering = Follower(
+        self.target_follower = Follower(
             store,
             dialect.targets_kind,
-            _FOLLOW_TARGETS,
+            _TARGETS_PACE,
             clock,
             journal,
             self.targets.take,
             self.targets.register.settle,
         )
-        self.registering.scout = self.configuring
+        self.target_follower.scout = self.configuration_follower
         self.server = HttpServer(self.handle)
         self.in_flight = 0
         self.leaving = False
         self._tasks: list[asyncio.Task[None]] = []
 
-    def _make_conversation(self) -> Conversation:
-        talk = Conversation(
+    def _make_messenger(self) -> PeerMessenger:
+        messenger = PeerMessenger(
             self.settings,
             self.incarnation,
             self.peers,
@@ -185,18 +189,20 @@
             self.journal,
             self.is_ready,
             lambda: self.leaving,
-            lambda: self.configuring.is_fresh(),
+            lambda: self.configuration_follower.is_fresh(),
         )
-        self.peers.hooks = Hooks(talk.hear, talk.lose, talk.make_beat, talk.greet)
-        self.reservations.ask = talk.ask_for_tokens
-        self.recorder.tell_mark = talk.tell_mark
-        self.shared.note_lost = talk.note_lost
-        self.shared.note_replaced = talk.note_replaced
-        return talk
+        self.peers.hooks = Hooks(
+            messenger.hear, messenger.lose, messenger.make_beat, messenger.greet
+        )
+        self.reservations.ask = messenger.ask_for_tokens
+        self.recorder.tell_mark = messenger.tell_mark
+        self.shared.note_lost = messenger.note_lost
+        self.shared.note_replaced = messenger.note_replaced
+        return messenger
 
     # The configuration
 
-    def _take_configuration(self, change: Change) -> None:
+    def _apply_change(self, change: Change) -> None:
         if change.name != self.dialect.configuration_name or change.body is None:
             return
         try:
@@ -207,9 +213,9 @@
         known = self.shared.table
         if known and configuration.version <= known.configuration.version:
             return
-        self._put_in_force(configuration)
+        self._apply_configuration(configuration)
 
-    def _put_in_force(self, configuration: Configuration) -> None:
+    def _apply_configuration(self, configuration: Configuration) -> None:
         self.shared.table = RouteTable(configuration)
         organisations = configuration.organisations
         totals = {name: one.reserved for name, one in organisations.items()}
@@ -234,11 +240,11 @@
     # Callers
 
     def is_ready(self) -> bool:
-        """Tell whether this router should get new connections."""
+        """Return whether callers should open new connections to this router."""
         return self.shared.table is not None and not self.leaving
 
     def list_entrances(self, domain: str = "") -> Entrances:
-        """Return where callers of a failure domain may connect."""
+        """Return the addresses to which callers of a failure domain may connect."""
         found = [
             Entrance(peer.beat.entrance, peer.beat.failure_domain)
             for peer in self.peers.list_present()
@@ -247,16 +253,16 @@
         if self.is_ready():
             own = Entrance(str(self.settings.front), self.settings.failure_domain)
             found.append(own)
-        return Entrances(choose_entrances(found, domain), self._find_keep())
+        return Entrances(choose_entrances(found, domain), self._get_address_ttl())
 
-    def _find_keep(self) -> Millis:
-        return _KEEP_ADDRESSES if self.peers.small else _KEEP_ADDRESSES_LARGE
+    def _get_address_ttl(self) -> Millis:
+        return _ADDRESS_TTL if self.peers.small else _ADDRESS_TTL_LARGE_FLEET
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
         """Answer a caller's request."""
         self.in_flight += 1
         try:
-            await Passage(self.shared, request, responder).run()
+            await RequestHandler(self.shared, request, responder).run()
         except AnvilshiftError as error:
             await self._answer_error(responder, error)
         finally:
@@ -264,7 +270,7 @@
 
     async def _answer_error(self, responder: Responder, error: AnvilshiftError) -> None:
         if responder.started:
-            # An answer that ends early must not look whole.
+            # The caller must see that an answer that ends early is incomplete.
             responder.abort()
             return
         reply = render_error(error)
@@ -276,72 +282,75 @@
         except CallerGoneError:
             self.journal.write("caller_gone", code=error.code.number)
 
-    # Time
+    # Background tasks
 
     async def start(self) -> None:
-        """Open the sockets and begin every background task."""
+        """Open the sockets and start every background task."""
         await self.peers.start()
         await self.server.start(self.settings.front)
         loop = asyncio.get_running_loop()
-        works = (
+        coroutines = (
             self.peers.run(),
-            self.configuring.run(),
-            self.registering.run(),
+            self.configuration_follower.run(),
+            self.target_follower.run(),
             self.allotter.run(),
             self._record(),
-            self._tick(),
+            self._run_clock(),
         )
-        self._tasks = [loop.create_task(work) for work in works]
+        self._tasks = [loop.create_task(coroutine) for coroutine in coroutines]
         for task in self._tasks:
-            task.add_done_callback(self._note_end)
+            task.add_done_callback(self._handle_task_end)
 
     async def _record(self) -> None:
-        """Record this router's use once its former process' share is ended."""
+        """Record this router's use, once the share of its former process has ended."""
         while self.settings.history is None or not self.allotter.begun:
-            await asyncio.sleep(_TICK / SECOND)
+            await asyncio.sleep(_TICK_INTERVAL / SECOND)
         await self.recorder.run()
 
-    def _note_end(self, task: asyncio.Task[None]) -> None:
+    def _handle_task_end(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and task.exception() is not None:
             self.journal.write("part_ended", why=repr(task.exception()))
             raise SystemExit(1)
 
-    async def _tick(self) -> None:
-        """Do what time brings, and notice when this process stood still."""
+    async def _run_clock(self) -> None:
+        """Run the periodic work, and detect that this process was suspended.
+
+        A suspended host stops the steady clock, but not the boot-time clock.
+        """
         before = self.clock.now()
         boot = time.clock_gettime(time.CLOCK_BOOTTIME) * SECOND
         while True:
-            await asyncio.sleep(_TICK / SECOND)
+            await asyncio.sleep(_TICK_INTERVAL / SECOND)
             now = self.clock.now()
             booted = time.clock_gettime(time.CLOCK_BOOTTIME) * SECOND
-            if max(now - before, booted - boot) > _LAPSE:
-                self._note_lapse(max(now - before, booted - boot))
+            if max(now - before, booted - boot) > _SUSPENDED_AFTER:
+                self._discard_stale_state(max(now - before, booted - boot))
             before, boot = now, booted
-            self._sweep(now)
+            self._run_periodic_work(now)
 
-    def _note_lapse(self, span: Millis) -> None:
-        """Believe nothing old: what was known is as old as the pause."""
+    def _discard_stale_state(self, span: Millis) -> None:
+        """Discard state that became stale while this process did not run."""
         self.journal.write("stood_still", span=round(span))
         self.client.close()
         for target in self.loads.targets.values():
-            # Connections that broke meanwhile say nothing of the targets.
+            # Connections that broke meanwhile are no evidence of unhealthy targets.
             target.health = Health()
         self.permits.note_lapse()
-        self.configuring.restart()
-        self.registering.restart()
+        self.configuration_follower.restart()
+        self.target_follower.restart()
 
-    def _sweep(self, now: Millis) -> None:
-        if not self.registering.is_fresh():
+    def _run_periodic_work(self, now: Millis) -> None:
+        if not self.target_follower.is_fresh():
             self.targets.register.note_outage()
         self.targets.register.sweep()
-        self.talk.note_routers()
+        self.messenger.note_routers()
         routers = 1 + len(self.peers.list_present())
         self.shared.retries.limit(self.settings.find_retry_reserve(routers))
-        for follower in (self.configuring, self.registering):
+        for follower in (self.configuration_follower, self.target_follower):
             follower.stretch = find_stretch(routers)
         self.recorder.routers = self.keepers.count_recording()
         self.allotter.wallet.set_provable(self.recorder.is_provable())
-        self.talk.return_idle()
+        self.messenger.return_idle()
         self.loads.expire(now)
         self.permits.sweep(now)
         for target in self.loads.targets.values():
@@ -350,18 +359,25 @@
                 health.probe(now)
 
     async def stop(self) -> None:
-        """Stop as planned: leave the answers, serve on, then hand back."""
+        """Stop as planned, within the grace period.
+
+        The router is first left out of the address lists.  It goes on serving until
+        callers have dropped the lists that still name it and no request is running,
+        then returns its shares to the store.
+        """
         self.leaving = True
         self.journal.write("stop_begun", in_flight=self.in_flight)
         self.peers.beat()
         self.server.parting = True
-        began = self.clock.now()
-        last = began + self.settings.grace - 900.0
+        stop_started = self.clock.now()
+        last = stop_started + self.settings.grace - 900.0
         while self.clock.now() < last:
             await asyncio.sleep(0.05)
-            self.shared.ending = self.clock.now() - began >= _TAKE_STREAMS
-            stayed = self.clock.now() - began >= 3 * self._find_keep() + 300.0
-            if stayed:
+            self.shared.ending = self.clock.now() - stop_started >= _ACCEPT_STREAMS
+            addresses_expired = (
+                self.clock.now() - stop_started >= 3 * self._get_address_ttl() + 300.0
+            )
+            if addresses_expired:
                 self.server.stop_listening()
                 if not self.in_flight:
                     break
@@ -371,11 +387,11 @@
                 await self.allotter.close()
         except (TimeoutError, AnvilshiftError) as error:
             self.journal.write("shares_not_handed_back", why=repr(error))
-            self.talk.say_farewell()
+            self.messenger.say_farewell()
         self.journal.write("stop_ended", cut_off=self.in_flight)
 
     async def close(self) -> None:
-        """Cut everything off."""
+        """Cancel the background tasks and close all connections."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/anvilshift/gateway/passing.py
+++ b/anvilshift/gateway/passing.py
@@ -1,7 +1,8 @@
-"""Answer for one caller's request.
+"""Handle one caller's request from its arrival to its outcome.
 
-Place it, pass its answer on, repeat it where that is allowed, and say truly what
-became of it.
+The request is sent to a target, its answer is relayed to the caller, and it is retried
+at another target where that is allowed.  An error that the caller gets says "not run"
+only if no target may have run the request.
 """
 
 import asyncio
@@ -35,7 +36,7 @@
 from anvilshift.core.work import Failure
 from anvilshift.gateway.attempts import Answer, AttemptError, Outgoing
 from anvilshift.gateway.border import Call, Delivery
-from anvilshift.gateway.crashes import CrashWatch, digest_request
+from anvilshift.gateway.crashes import CrashTracker, digest_request
 from anvilshift.gateway.relaying import WHOLE, AnswerRelay
 from anvilshift.gateway.shared import Shared
 from anvilshift.gateway.turns import Turn
@@ -43,15 +44,19 @@
 from anvilshift.wire.server import CallerGoneError, Responder
 
 
-class Passage:
-    """One caller's request on its way.
+class RequestHandler:
+    """Handle one caller's request.
 
     Attributes
     ----------
     may_have_run
-        Whether any target may have run the request, or still may.
+        Whether any target may have run the request, or may still run it.
     targets
-        On how many targets it may have run.
+        Number of targets that may have run it.
+    failed_targets
+        Names of the targets at which an attempt failed; they get no further attempt.
+    concurrent_runs
+        Requests that the target was running when the last attempt was sent.
     """
 
     def __init__(
@@ -64,16 +69,24 @@
         self.payer: Tenancy | None = None
         self.may_have_run = False
         self.targets = 0
-        self.excluded: set[str] = set()
+        self.failed_targets: set[str] = set()
         self.relay = AnswerRelay(responder, shared.clock)
         self.target = ""
         self.tokens = 0
         self.sent = self.arrived
-        self.beside = 0
+        self.concurrent_runs = 0
         self.predicted: Millis = 0.0
 
     async def run(self) -> None:
-        """Answer the request."""
+        """Answer the request, and write its log line.
+
+        Raises
+        ------
+        AnvilshiftError
+            When there is no complete answer.
+        CallerGoneError
+            When the caller closed its connection.
+        """
         call = self.shared.dialect.read_call(self.request)
         self.call = call
         self.turn = Turn(self.shared, call.identity, self.arrived)
@@ -87,9 +100,9 @@
             raise
         finally:
             self.turn.close()
-            self._log()
+            self._write_log_line()
 
-    def _log(self) -> None:
+    def _write_log_line(self) -> None:
         now, first = self.shared.clock.now(), self.relay.first
         self.shared.journal.write(
             "request",
@@ -97,18 +110,18 @@
             path=self.request.path,
             organisation=self.payer.name if self.payer else None,
             target=self.target,
-            tries=len(self.excluded) + 1,
+            tries=len(self.failed_targets) + 1,
             predicted=round(self.predicted, 1),
             first=None if first is None else round(first - self.arrived, 1),
             took=round(now - self.arrived, 1),
             events=self.relay.events,
             tokens=self.tokens,
             pause=round(self.relay.longest_pause, 1),
-            running=self.beside,
+            running=self.concurrent_runs,
             outcome=self.relay.outcome,
         )
 
-    # What the configuration says
+    # Routing and payment
 
     async def _serve(self, call: Call) -> None:
         table = self.shared.table
@@ -121,7 +134,7 @@
         self.payer = self._authenticate(table, call, rule)
         self.turn.organisation = self.payer.name if self.payer else ""
         content = digest_request(self.request, self.turn.organisation)
-        self.crashes = CrashWatch(self.shared, content)
+        self.crashes = CrashTracker(self.shared, content)
         self.crashes.check()
         patience = rule.timeout if call.patience is None else call.patience
         self.end = self.arrived + min(patience, rule.timeout)
@@ -130,9 +143,9 @@
         self.model: ModelFigures | None = service.model if service else None
         self.pause = table.find_pause(self.service)
         if self.model is None:
-            await self._within_time(self._attempt_until_answered())
+            await self._run_until_deadline(self._attempt_until_answered())
         else:
-            await self._serve_paid(call.prompt, self.model)
+            await self._serve_prepaid(call.prompt, self.model)
 
     def _authenticate(
         self, table: RouteTable, call: Call, rule: Rule
@@ -144,38 +157,48 @@
             raise AnvilshiftError(UNAUTHENTICATED)
         return found
 
-    async def _serve_paid(self, prompt: Prompt, model: ModelFigures) -> None:
-        """Answer a model request within what its organisation has prepaid."""
+    async def _serve_prepaid(self, prompt: Prompt, model: ModelFigures) -> None:
+        """Answer a model request, with tokens reserved in its organisation's budget."""
         self.shared.check_staying()
         reservations, payer = self.shared.reservations, self.payer
         if payer is None:
-            await self._within_time(self._attempt_until_answered())
+            await self._run_until_deadline(self._attempt_until_answered())
             return
         key = f"{self.call.identity}/{self.shared.runs}"
         most = prompt.tokens + prompt.most_answer + model.tokens_an_event
         await reservations.reserve(payer.name, key, most, self.end)
         try:
-            await self._within_time(self._attempt_until_answered())
+            await self._run_until_deadline(self._attempt_until_answered())
         finally:
             self.tokens = self._count_tokens(prompt, model)
             reservations.settle(payer.name, key, self.tokens)
 
     def _count_tokens(self, prompt: Prompt, model: ModelFigures) -> int:
-        """Return the most that the request may have cost."""
+        """Return an upper bound on the tokens that the request used."""
         if not self.may_have_run:
             return 0
         most = prompt.tokens + prompt.most_answer + model.tokens_an_event
         if self.relay.outcome == WHOLE:
-            made = self.relay.events * model.tokens_an_event
-            return prompt.tokens + min(made, prompt.most_answer)
+            generated = self.relay.events * model.tokens_an_event
+            return prompt.tokens + min(generated, prompt.most_answer)
         if self.relay.broken or self.rule.kind is not RequestKind.STREAMING:
-            # An engine may have made an answer that was lost on its way; counted
-            # by what came, a total near its end would be overspent.
+            # An engine may have generated an answer that was lost in transit.  If
+            # only the received events were counted, a nearly used up budget would be
+            # overspent.
             return most
         return count_left(prompt.tokens, self.relay.events, model.tokens_an_event, most)
 
-    async def _within_time(self, work: Awaitable[None]) -> None:
-        """Give the request its final answer when its time is over."""
+    async def _run_until_deadline(self, work: Awaitable[None]) -> None:
+        """Await the work, and end the request when its deadline passes.
+
+        An answer that has begun is cut off.  Otherwise the error says whether a target
+        may have run the request.
+
+        Raises
+        ------
+        AnvilshiftError
+            When the deadline passed before the answer began.
+        """
         loop = asyncio.get_running_loop()
         left = (self.end - self.shared.clock.now()) / SECOND
         try:
@@ -189,15 +212,15 @@
                 return
             if self.may_have_run:
                 raise AnvilshiftError(ANSWER_LATE) from None
-            raise AnvilshiftError(OVERLOADED, "its time is over") from None
+            raise AnvilshiftError(OVERLOADED, "the deadline has passed") from None
 
     # Attempts
 
     async def _attempt_until_answered(self) -> None:
         while True:
             choice = self._choose()
-            self._refuse_hopeless(choice)
-            run = await self.turn.take(choice, self._rank(choice), self.end)
+            self._check_predicted_wait(choice)
+            run = await self.turn.take(choice, self._compute_rank(choice), self.end)
             if run is None:
                 continue
             try:
@@ -206,15 +229,15 @@
                     self.crashes.clear()
                     return
             except AttemptError as error:
-                self._note_failure(choice, error)
-                await self.crashes.look(choice.target, error)
-                self._check_repeat(error)
+                self._record_failure(choice, error)
+                await self.crashes.check_failure(choice.target, error)
+                self._check_retry(error)
 
     def _choose(self) -> Choice:
         shared, now = self.shared, self.shared.clock.now()
-        excluded = self.excluded | self.turn.refused
+        excluded = self.failed_targets | self.turn.refused
         prompt = self.call.prompt if self.model is not None else Prompt()
-        excluded |= self.crashes.list_barred(self.service, prompt)
+        excluded |= self.crashes.list_forbidden(self.service, prompt)
         if self.model is not None:
             demand = Demand(
                 self.service,
@@ -245,33 +268,48 @@
         if choice is None:
             turn = self.turn.find_return()
             if turn is not None:
-                raise self._give_up(OVERLOADED, turn, "no permit comes in time")
-            raise self._give_up(NO_ENGINE, NO_ENGINE_RETURN, "no target is left")
+                raise self._make_final_error(
+                    OVERLOADED, turn, "no permit is expected before the deadline"
+                )
+            raise self._make_final_error(
+                NO_ENGINE, NO_ENGINE_RETURN, "no target is available"
+            )
         return choice
 
-    def _refuse_hopeless(self, choice: Choice) -> None:
-        """Refuse at once what can't begin before its time is over."""
+    def _check_predicted_wait(self, choice: Choice) -> None:
+        """Refuse a request at once if its predicted wait exceeds the time left."""
         left = self.end - self.shared.clock.now()
         wait = choice.whole_wait
         if wait > left and not self.may_have_run:
-            detail = f"a wait of {wait:.0f} ms is expected"
-            raise self._give_up(OVERLOADED, wait - left, detail)
+            detail = f"a wait of {wait:.0f} ms is predicted"
+            raise self._make_final_error(OVERLOADED, wait - left, detail)
 
-    def _give_up(self, code: Code, wait: Millis, detail: str) -> AnvilshiftError:
-        """Return the error that says truly what became of the request."""
+    def _make_final_error(
+        self, code: Code, wait: Millis, detail: str
+    ) -> AnvilshiftError:
+        """Return the error for a request that gets no further attempt.
+
+        Parameters
+        ----------
+        code
+            Code for a request that no target has run; one that may have run gets
+            ENGINE_FAILED instead.
+        wait
+            Time after which a new request may succeed.
+        """
         left = max(0.0, self.end - self.shared.clock.now())
         after = find_return(wait, left, self.shared.rng)
         if self.may_have_run:
             return AnvilshiftError(ENGINE_FAILED, detail, after)
         return AnvilshiftError(code, detail, after)
 
-    def _note_failure(self, choice: Choice, error: AttemptError) -> None:
+    def _record_failure(self, choice: Choice, error: AttemptError) -> None:
         target = choice.target
         name = target.info.name
-        self.excluded.add(name)
+        self.failed_targets.add(name)
         if error.failure is not Failure.REJECTED:
             target.health.add_failure(self.call.identity)
-            self._eject_if_bad(choice, error.failure)
+            self._eject_if_unhealthy(choice, error.failure)
         self.shared.journal.write(
             "attempt_failed",
             id=self.call.identity,
@@ -281,26 +319,36 @@
             events=self.relay.events,
         )
 
-    def _eject_if_bad(self, choice: Choice, failure: Failure) -> None:
+    def _eject_if_unhealthy(self, choice: Choice, failure: Failure) -> None:
         health, now = choice.target.health, self.shared.clock.now()
-        # Where nobody accepts connections, the next request would find out again.
-        gone = failure is Failure.NOT_SENT
-        if health.state is not State.EJECTED and (gone or health.is_bad(0.0)):
+        # A target that accepts no connection is ejected at once; otherwise the next
+        # request would fail there as well.
+        unreachable = failure is Failure.NOT_SENT
+        if health.state is not State.EJECTED and (unreachable or health.is_bad(0.0)):
             health.eject(now, self.shared.rng)
             name = choice.target.info.name
             self.shared.journal.write("target_ejected", target=name, until=health.until)
 
-    def _check_repeat(self, error: AttemptError) -> None:
-        """Return if the request may be sent again; raise what ends it if not."""
+    def _check_retry(self, error: AttemptError) -> None:
+        """Check that the request may be retried.
+
+        Raises
+        ------
+        AnvilshiftError
+            When a target may have run the request and it may not run elsewhere, or
+            when the retry budget is used up.
+        """
         if not error.never_ran and not self._may_go_on():
             raise AnvilshiftError(ENGINE_FAILED, error.detail)
         if not self.shared.retries.take(error.failure):
             if self.relay.started:
-                raise AnvilshiftError(ENGINE_FAILED, "no retry is left")
-            raise self._give_up(NO_ENGINE, NO_ENGINE_RETURN, "no retry is left")
+                raise AnvilshiftError(ENGINE_FAILED, "the retry budget is used up")
+            raise self._make_final_error(
+                NO_ENGINE, NO_ENGINE_RETURN, "the retry budget is used up"
+            )
 
-    def _rank(self, choice: Choice) -> int:
-        """Return how urgent the request is among those that wait for a permit."""
+    def _compute_rank(self, choice: Choice) -> int:
+        """Return the request's rank among those that wait for a permit."""
         elapsed = self.shared.clock.now() - self.arrived
         return rank(self.rule, elapsed, choice.whole_wait)
 
@@ -308,7 +356,7 @@
         shared = self.shared
         self.predicted = choice.wait
         self.sent = shared.clock.now()
-        self.beside = len(choice.target.runs)
+        self.concurrent_runs = len(choice.target.runs)
         self.target = choice.target.info.name
         left = self.end - shared.clock.now()
         outgoing = Outgoing(
@@ -324,11 +372,11 @@
         before = self.may_have_run, self.targets
         self.may_have_run = True
         self.targets += 1
-        self.crashes.begin(self.target)
+        self.crashes.charge_target(self.target)
         try:
-            async with asyncio.timeout(self._bound_try(choice, left)) as bound:
+            async with asyncio.timeout(self._compute_timeout(choice, left)) as bound:
                 async with shared.sender.send(outgoing) as answer:
-                    await self._pass_on(outgoing, answer, bound)
+                    await self._relay_answer(outgoing, answer, bound)
                     return True
         except AttemptError as error:
             if error.never_ran:
@@ -338,18 +386,20 @@
             raise
         except TimeoutError as error:
             self.relay.broken = True
-            raise AttemptError(Failure.BROKE_OFF, "the target is silent") from error
+            raise AttemptError(
+                Failure.BROKE_OFF, "the target sent nothing for too long"
+            ) from error
         finally:
             self.crashes.end(self.target, self.targets > before[1])
 
-    def _bound_try(self, choice: Choice, left: Millis) -> float | None:
-        """Return the seconds that a target may take, where another can follow."""
+    def _compute_timeout(self, choice: Choice, left: Millis) -> float | None:
+        """Return the attempt's timeout in seconds; None if no retry may follow it."""
         if not self._may_go_on():
             return None
         return bound_try(self.rule, choice.wait, left) / SECOND
 
     def _may_go_on(self) -> bool:
-        """Tell whether the request may yet be sent to another target."""
+        """Return whether the request may be run at a further target."""
         return self.rule.repeatable and self.targets < self.rule.most_targets
 
     def _make_delivery(self, choice: Choice, left: Millis) -> Delivery:
@@ -366,20 +416,20 @@
 
     # Answers
 
-    async def _pass_on(
+    async def _relay_answer(
         self, outgoing: Outgoing, answer: Answer, bound: asyncio.Timeout
     ) -> None:
         success = 200 <= answer.status < 300
         if success and not answer.notes.signed:
-            detail = "an unsigned answer"
+            detail = "the answer is unsigned"
             raise AttemptError(Failure.BROKE_OFF, detail, answered=True)
         if success and self.rule.kind is RequestKind.STREAMING:
             silence = bound_silence(self.rule) if self._may_go_on() else None
-            begin = partial(self._note_first, outgoing)
+            begin = partial(self._record_first_byte, outgoing)
             await self.relay.stream(answer, bound, silence, begin)
             return
         body = await self.relay.read_whole(answer)
-        self._note_first(outgoing)
+        self._record_first_byte(outgoing)
         failed = answer.status >= 500 and self._may_go_on()
         if failed or self.relay.started:
             detail = f"status {answer.status}"
@@ -389,9 +439,9 @@
             self.shared.mean_work(self.service).add(took)
         await self.relay.send_whole(answer, body)
 
-    def _note_first(self, outgoing: Outgoing) -> None:
-        """Take in that a target began to answer."""
-        self.shared.sender.note_begin(outgoing)
+    def _record_first_byte(self, outgoing: Outgoing) -> None:
+        """Record that the target began to answer, and how long that took."""
+        self.shared.sender.record_first_byte(outgoing)
         target = outgoing.choice.target
         target.health.add_answer()
         span = self.shared.clock.now() - self.sent
--- a/anvilshift/gateway/relaying.py
+++ b/anvilshift/gateway/relaying.py
@@ -1,4 +1,4 @@
-"""Pass a target's answer on to its caller, and keep account of what came."""
+"""Relay a target's answer to the caller, and count the events that were received."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,31 +13,33 @@
 from anvilshift.wire.server import Responder
 
 WHOLE = "whole"
-_ANSWER_BYTES = 8 * 1024 * 1024
-"""Largest answer that is read whole before it goes on."""
-_FRAMING = frozenset(
+_MAX_ANSWER_BYTES = 8 * 1024 * 1024
+"""Size limit of an answer that is read completely before it is sent to the caller."""
+_FRAMING_HEADERS = frozenset(
     {"content-length", "transfer-encoding", "connection", "keep-alive", "trailer"}
 )
 
 
 @dataclass
 class AnswerRelay:
-    """One answer on its way to its caller, over all attempts that make it.
+    """Relay one answer to the caller, over all attempts that contribute to it.
 
     Attributes
     ----------
     events
-        Whole events that came.
+        Number of complete events received.
     last_id
-        Id of the last one; a run that goes on elsewhere begins behind it.
+        Id of the last of these that had one; an attempt that resumes the stream at
+        another target starts after it.
     first
-        When the answer began.
+        When the first event or the complete short answer arrived.
     longest_pause
-        Longest time between two pieces.
+        Longest time between two pieces of the stream, each of which completed at
+        least one event.
     broken
-        Whether a target may have made more of the answer than came.
+        Whether a target may have generated more of the answer than was received.
     outcome
-        How it ended, for the log.
+        How the answer ended, for the log.
     """
 
     responder: Responder
@@ -48,24 +50,24 @@
     longest_pause: Millis = 0.0
     broken: bool = False
     outcome: str = "gone"
-    _passed: Millis = 0.0
+    _last_event_at: Millis = 0.0
 
     @property
     def started(self) -> bool:
-        """Tell whether the caller has the answer's head."""
+        """Return whether the headers of the answer were sent to the caller."""
         return self.responder.started
 
     async def read_whole(self, answer: Answer) -> bytes:
-        """Return the body of a short answer."""
-        body = await answer.response.read(_ANSWER_BYTES)
+        """Read and return the body of a short answer."""
+        body = await answer.response.read(_MAX_ANSWER_BYTES)
         self.first = self.clock.now()
         return body
 
     async def send_whole(self, answer: Answer, body: bytes) -> None:
-        """Send a short answer that is here in full."""
+        """Send a short answer whose body was read completely."""
         self.outcome = f"status {answer.status}"
         length = ("content-length", str(len(body)))
-        headers = [*_keep_headers(answer), length]
+        headers = [*_filter_headers(answer), length]
         await self.responder.start(answer.status, headers, hold=True)
         await self.responder.finish(body)
 
@@ -76,21 +78,21 @@
         silence: Millis | None,
         begin: Callable[[], None],
     ) -> None:
-        """Send a stream on event by event.
+        """Relay a stream, complete events only.
 
         Parameters
         ----------
         bound
-            The attempt's time; it is put off with each event.
+            Timeout of the attempt; each event moves its deadline.
         silence
-            Longest time without an event; None is no bound.
+            Time without an event after which the attempt fails; None for no limit.
         begin
-            Called at the attempt's first event.
+            Called at the first event of the attempt.
 
         Raises
         ------
         AttemptError
-            When the stream breaks off; what came in part is held back.
+            When the stream breaks off.  An incomplete event is not sent to the caller.
         """
         splitter = EventSplitter()
         received = self.events
@@ -106,31 +108,31 @@
                 self.events = received + splitter.count
                 until = None if silence is None else loop.time() + silence / SECOND
                 bound.reschedule(until)
-                self._note_event()
-                await self._start(answer)
+                self._record_event_time()
+                await self._send_headers(answer)
                 await self.responder.write(whole)
         except ExchangeError as error:
             raise AttemptError(Failure.BROKE_OFF, str(error)) from error
-        await self._start(answer)
+        await self._send_headers(answer)
         self.outcome = "whole after a break" if self.broken else WHOLE
         await self.responder.finish(splitter.rest)
 
-    async def _start(self, answer: Answer) -> None:
-        """Send the head of the first target's answer, once."""
+    async def _send_headers(self, answer: Answer) -> None:
+        """Send the headers of the first target's answer, unless they were sent."""
         if not self.started:
-            headers = _keep_headers(answer)
+            headers = _filter_headers(answer)
             await self.responder.start(answer.status, headers, hold=True)
 
-    def _note_event(self) -> None:
+    def _record_event_time(self) -> None:
         now = self.clock.now()
         if self.first is None:
             self.first = now
         else:
-            self.longest_pause = max(self.longest_pause, now - self._passed)
-        self._passed = now
+            self.longest_pause = max(self.longest_pause, now - self._last_event_at)
+        self._last_event_at = now
 
 
-def _keep_headers(answer: Answer) -> Fields:
-    """Return a target's headers without those of its own connection."""
-    drop = _FRAMING | list_hop_headers(answer.headers)
-    return [(n, v) for n, v in answer.headers.pairs if n not in drop]
+def _filter_headers(answer: Answer) -> Fields:
+    """Return an answer's headers without those that concern the target's connection."""
+    removed = _FRAMING_HEADERS | list_hop_headers(answer.headers)
+    return [(n, v) for n, v in answer.headers.pairs if n not in removed]
--- a/anvilshift/gateway/settings.py
+++ b/anvilshift/gateway/settings.py
@@ -1,33 +1,33 @@
-"""What one gateway process is told at its start."""
+"""The settings with which one gateway process is started."""
 
 from dataclasses import dataclass
 
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.wire.messages import Address
 
-_CONTROLLERS = 4
-"""Routers among which the fleet's retries are divided: the smallest fleets have
-four, and a retry budget that is used up early refuses work that could be saved."""
+_MIN_ROUTERS = 4
+"""Lower bound on the number of routers among which the fleet's retries are divided.
+The smallest fleets have four routers, and a retry budget that is used up too early
+fails requests that a retry would have saved."""
 
 
 @dataclass(frozen=True)
 class GatewaySettings:
-    """Addresses, bounds and names of one gateway process.
+    """Addresses, limits and names of one gateway process.
 
     Parameters
     ----------
     peer_port, operator_port
-        Ports for traffic between routers: datagrams, and HTTP.
+        Ports for traffic between routers, for datagrams and for HTTP.
     seeds
-        IP numbers of routers that may be there.
+        IP addresses of routers that may be running.
     grace
         Time from the signal to stop until the process is killed.
     retry_allowance
-        Retries that all routers together may make in a few seconds, beside
-        those that are earned by answers.
+        Retries that all routers together may make within a few seconds, in addition
+        to those that successful answers earn.
     history
-        After this time at the latest the store discards a change; None when that
-        is not known.
+        Age by which the store has discarded a change; None if it is not known.
     """
 
     name: str
@@ -45,14 +45,14 @@
     history: Millis | None = None
 
     def find_retry_reserve(self, routers: int) -> float:
-        """Return this router's part of the fleet's retry allowance.
+        """Return this router's share of the fleet's retry allowance.
 
         Examples
         --------
-        >>> where = Address.parse("10.0.0.1:80")
-        >>> settings = GatewaySettings("r1", "10.0.0.1", "a", where, None, None, 1, 2,
-        ...     where, retry_allowance=48.0)
+        >>> address = Address.parse("10.0.0.1:80")
+        >>> settings = GatewaySettings("r1", "10.0.0.1", "a", address, None, None, 1, 2,
+        ...     address, retry_allowance=48.0)
         >>> settings.find_retry_reserve(1), settings.find_retry_reserve(24)
         (6.0, 1.0)
         """
-        return max(1.0, self.retry_allowance / 2 / max(_CONTROLLERS, routers))
+        return max(1.0, self.retry_allowance / 2 / max(_MIN_ROUTERS, routers))
--- a/anvilshift/gateway/splitting.py
+++ b/anvilshift/gateway/splitting.py
@@ -1,22 +1,25 @@
-"""Cut a stream of server-sent events into whole events.
+"""Split a stream of server-sent events into complete events.
 
-Only whole events go on to the caller: an engine that fails in the midst of one
-leaves a piece that a run which resumes elsewhere would send again.
+Only complete events are sent to the caller.  If an engine fails in the middle of an
+event, the attempt that resumes the stream at another engine sends that event again from
+its start, so the caller must not have received a part of it.
 """
 
-_END = b"\n\n"
-_ID = b"id:"
+_EVENT_END = b"\n\n"
+_ID_FIELD = b"id:"
 
 
 class EventSplitter:
-    r"""Collect bytes and give them back as whole events.
+    r"""Buffer the bytes of a stream and return them as complete events.
 
     Attributes
     ----------
     count
-        Whole events so far.
+        Number of complete events so far.
     last_id
-        Id of the last whole event that had one.
+        Id of the last complete event that had one.
+    rest
+        Bytes of the event that is still incomplete.
 
     Examples
     --------
@@ -33,21 +36,21 @@
         self.rest = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that are complete now."""
+        """Add bytes, and return the events that they complete."""
         data = self.rest + data
-        end = data.rfind(_END)
+        end = data.rfind(_EVENT_END)
         if end < 0:
             self.rest = data
             return b""
         whole, self.rest = data[: end + 2], data[end + 2 :]
-        self.count += whole.count(_END)
-        self._note_id(whole)
+        self.count += whole.count(_EVENT_END)
+        self._parse_last_id(whole)
         return whole
 
-    def _note_id(self, whole: bytes) -> None:
-        at = whole.rfind(b"\n" + _ID)
+    def _parse_last_id(self, whole: bytes) -> None:
+        at = whole.rfind(b"\n" + _ID_FIELD)
         start = at + 1 if at >= 0 else 0
-        if not whole.startswith(_ID, start):
+        if not whole.startswith(_ID_FIELD, start):
             return
-        line = whole[start + len(_ID) :].split(b"\n", 1)[0]
+        line = whole[start + len(_ID_FIELD) :].split(b"\n", 1)[0]
         self.last_id = line.strip().decode("latin-1")
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -9,16 +9,16 @@
 from anvilshift.wire.messages import Headers
 from tests.gateway.silent import SilentJournal
 
-SHEET = ("sheet", 9_000)
-PROMPT = Prompt((SHEET, ("question", 100)), 9_100, 50)
+SHARED_PART = ("sheet", 9_000)
+PROMPT = Prompt((SHARED_PART, ("question", 100)), 9_100, 50)
 
 
-class TellingPeers:
-    """Keeps what would be told to routers far away."""
+class RecordingPeers:
+    """Records the messages that would be sent to distant routers."""
 
     def __init__(self, small: bool = False) -> None:
         self.small = small
-        self.far = []
+        self.to_distant = []
 
     def tell(self, message):
         pass
@@ -27,44 +27,49 @@
         pass
 
     def tell_far(self, message, domain):
-        self.far.append((message, domain))
+        self.to_distant.append((message, domain))
 
 
-class HeldPartsTest(unittest.TestCase):
+class CachedPartsTest(unittest.TestCase):
     def send(self, cached: int, fetched: bool = False, small: bool = False):
         loads = LoadMap()
         for name, domain in (("e1", "north"), ("e2", "south")):
             loads.declare(TargetInfo(name, "advice", "10.0.0.1:80", domain, 64))
-        peers = TellingPeers(small)
+        peers = RecordingPeers(small)
         sender = Sender(None, None, loads, peers, ManualClock(), SilentJournal(), None)
         source = loads.targets["e2"] if fetched else None
         choice = Choice(loads.targets["e1"], 100.0, cached, source)
         request = SimpleNamespace()
         outgoing = Outgoing("r1/1", request, "a", "h", PROMPT, None, choice, 400_000)
-        sender._note_send(outgoing)
-        return peers.far
+        sender._record_send(outgoing)
+        return peers.to_distant
 
-    def test_a_shared_part_that_is_read_is_told_to_far_routers(self):
-        """Each router of a large fleet is told of runs near it only.
+    def test_distant_routers_are_told_of_a_newly_computed_shared_part(self):
+        """Guards against a shared part that is computed once for each router.
 
-        What an engine elsewhere had read was read again at one near each of them.
+        A router of a large fleet is told only of the runs near it.  Not knowing that a
+        distant engine had a part cached, each router had it computed again by an
+        engine near it.
         """
-        self.assertEqual(self.send(cached=0), [(Held("e1", (SHEET,)), "north")])
+        self.assertEqual(self.send(cached=0), [(Held("e1", (SHARED_PART,)), "north")])
 
-    def test_one_that_is_fetched_is_told_as_well(self):
+    def test_distant_routers_are_told_of_a_fetched_shared_part(self):
         told = self.send(cached=9_000, fetched=True)
-        self.assertEqual(told, [(Held("e1", (SHEET,)), "north")])
+        self.assertEqual(told, [(Held("e1", (SHARED_PART,)), "north")])
 
-    def test_one_that_the_engine_held_is_no_news(self):
+    def test_a_part_that_was_already_cached_is_not_reported(self):
         self.assertEqual(self.send(cached=9_000), [])
 
-    def test_a_small_fleet_is_told_of_each_run_anyway(self):
+    def test_a_small_fleet_gets_no_separate_message_of_cached_parts(self):
         self.assertEqual(self.send(cached=0, small=True), [])
 
 
-class AnswerFieldsTest(unittest.TestCase):
-    def test_a_field_that_no_answer_bore_before_is_logged_once(self):
-        """What an engine says of its need must not pass by without a trace."""
+class LoggedHeaderFieldsTest(unittest.TestCase):
+    def test_a_header_field_is_logged_once(self):
+        """Guards against unknown header fields of engines that leave no trace.
+
+        An engine may announce a requirement in a field that the router does not know.
+        """
         journal = SilentJournal()
         sender = Sender(None, None, LoadMap(), None, ManualClock(), journal, None)
         target = SimpleNamespace(info=SimpleNamespace(name="e1"))
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -1,4 +1,4 @@
-"""What one content costs on the platform where routers can't tell each other."""
+"""Test how many targets one content crashes when routers can't exchange messages."""
 
 import random
 import unittest
@@ -6,7 +6,7 @@
 
 from anvilshift.core.blame import BlameBook
 from anvilshift.core.loadmap import LoadMap, Prompt, TargetInfo
-from anvilshift.gateway.crashes import CrashWatch
+from anvilshift.gateway.crashes import CrashTracker
 
 DOMAINS = ("north", "south", "east")
 NAMES = tuple(f"i-{n}" for n in range(12))
@@ -21,7 +21,7 @@
 
 
 class Router:
-    """One router's view of the targets and of what they crashed under."""
+    """One router's view of the targets and of the content that crashed them."""
 
     def __init__(self, clock, names=NAMES):
         self.clock = clock
@@ -36,25 +36,31 @@
         info = TargetInfo(name, "llm", "127.0.0.1:1", domain, 8, leaving)
         self.loads.declare(info)
 
-    def list_open(self, content, prompt):
-        watch = CrashWatch(self.shared, content)
-        return sorted(set(self.loads.targets) - watch.list_barred("llm", prompt))
+    def list_allowed(self, content, prompt):
+        tracker = CrashTracker(self.shared, content)
+        return sorted(set(self.loads.targets) - tracker.list_forbidden("llm", prompt))
 
     def send(self, content, prompt, rng):
-        """Send a poison to any target that it may reach, which crashes."""
-        found = self.list_open(content, prompt)
-        if not found:
+        """Send content that crashes its target to a random one that is allowed.
+
+        Returns
+        -------
+        str or None
+            The crashed target; None if none was allowed.
+        """
+        allowed = self.list_allowed(content, prompt)
+        if not allowed:
             return None
-        target = rng.choice(found)
-        watch = CrashWatch(self.shared, content)
-        watch.begin(target)
-        watch.end(target, ran=True)
+        target = rng.choice(allowed)
+        tracker = CrashTracker(self.shared, content)
+        tracker.charge_target(target)
+        tracker.end(target, ran=True)
         return target
 
 
-class CrashWatchTest(unittest.TestCase):
-    def count_lost(self, make_routers, prompt):
-        """Return how many targets each of many contents costs."""
+class CrashTrackerTest(unittest.TestCase):
+    def count_crashed(self, make_routers, prompt):
+        """Return the number of targets that each of 50 contents crashes."""
         counts = []
         for seed in range(50):
             rng = random.Random(seed)
@@ -67,46 +73,52 @@
             counts.append(len(lost - {None}))
         return counts
 
-    def test_routers_that_tell_each_other_nothing_lose_the_same_three(self):
-        """Guards against three lost targets for each router."""
+    def test_routers_without_messages_crash_the_same_three_targets(self):
+        """Guards against three crashed targets for each router.
+
+        Each router bounds the crashes of a content by itself; without home targets that
+        all compute alike, each would send it to three targets of its own.
+        """
         for prompt in (Prompt(), Prompt((("a", 9), ("b", 7), ("c", 5)), 21, 9)):
-            counts = self.count_lost(
+            counts = self.count_crashed(
                 lambda: [Router(Clock()) for _ in range(4)], prompt
             )
             self.assertEqual(set(counts), {3})
 
-    def test_content_has_no_other_target_in_place_of_one_that_was_lost(self):
-        """Guards against a fourth target once the crashed ones' entries are gone."""
+    def test_a_lost_target_is_not_replaced_until_its_entry_expires(self):
+        """Guards against a fourth crash once the crashed targets are unregistered."""
         clock = Clock()
         router = Router(clock)
-        homes = router.list_open("c", Prompt())
+        homes = router.list_allowed("c", Prompt())
         for name in homes:
             router.loads.remove(name, clock.now())
         clock.time = 60_000.0
-        self.assertEqual(router.list_open("c", Prompt()), [])
+        self.assertEqual(router.list_allowed("c", Prompt()), [])
         clock.time = 121_000.0
-        self.assertEqual(len(router.list_open("c", Prompt())), 3)
+        self.assertEqual(len(router.list_allowed("c", Prompt())), 3)
 
-    def test_content_has_another_target_in_place_of_one_that_leaves(self):
-        """Guards against refusals in a release."""
+    def test_a_leaving_target_is_replaced(self):
+        """Guards against refused requests while a release replaces the targets."""
         router = Router(Clock())
-        homes = router.list_open("c", Prompt())
+        homes = router.list_allowed("c", Prompt())
         for name in homes:
             router.declare(name, leaving=True)
-        others = set(router.list_open("c", Prompt())) - set(homes)
+        others = set(router.list_allowed("c", Prompt())) - set(homes)
         self.assertEqual(len(others), 3)
 
-    def test_content_that_was_answered_whole_goes_anywhere(self):
+    def test_content_that_was_answered_completely_may_go_to_any_target(self):
         router = Router(Clock())
-        CrashWatch(router.shared, "c").clear()
-        self.assertEqual(router.list_open("c", Prompt()), sorted(NAMES))
+        CrashTracker(router.shared, "c").clear()
+        self.assertEqual(router.list_allowed("c", Prompt()), sorted(NAMES))
 
-    def test_prompts_that_share_their_parts_meet_at_the_same_targets(self):
-        """Guards against shared parts that are read at every target."""
+    def test_prompts_that_share_parts_get_the_same_targets(self):
+        """Guards against shared prompt parts that are computed at every target."""
         router = Router(Clock())
         first = Prompt((("a", 9), ("b", 7), ("c1", 5)), 21, 9)
         second = Prompt((("a", 9), ("b", 7), ("c2", 5)), 21, 9)
-        self.assertEqual(router.list_open("c1", first), router.list_open("c2", second))
+        self.assertEqual(
+            router.list_allowed("c1", first), router.list_allowed("c2", second)
+        )
 
 
 if __name__ == "__main__":
--- a/tests/gateway/test_journal.py
+++ b/tests/gateway/test_journal.py
@@ -26,7 +26,7 @@
             (line["event"], line["node"], line["id"]), ("request", "n1", "7")
         )
 
-    def test_lines_of_a_kind_are_bounded_and_what_was_left_out_is_counted(self):
+    def test_lines_of_a_kind_are_limited_and_omitted_ones_are_counted(self):
         for _ in range(LINES_A_SECOND + 5):
             self.journal.write("request")
         self.journal.write("other")
@@ -35,11 +35,11 @@
         self.journal.write("request")
         self.assertEqual(self.read()[0]["left_out"], 5)
 
-    def test_a_reader_that_stalls_blocks_nothing(self):
-        """Whoever reads the logs stops; the pipe fills.
+    def test_a_stalled_reader_does_not_block_writes(self):
+        """Guards against a blocked event loop when the log reader stalls.
 
-        A write that waited would stop the whole loop, and with it every
-        stream of the router.
+        The pipe fills up.  A blocking write would then stop the event loop and with it
+        every stream of the router.
         """
         for second in range(200):
             self.clock.advance(1_000.0)
