--- a/anvilshift/gateway/attempts.py
+++ b/anvilshift/gateway/attempts.py
@@ -209,12 +209,14 @@
         have the part computed again at a target near it, although the part could be
         fetched from this target or the prompt be sent to it.
         """
-        choice, shared = outgoing.choice, outgoing.prompt.parts[:-1]
+        choice, shared_parts = outgoing.choice, outgoing.prompt.parts[:-1]
         fetched = choice.fetch_from is not None
-        is_newly_cached = fetched or choice.cached < sum(tokens for _, tokens in shared)
-        if shared and is_newly_cached and not self.peers.small:
+        is_newly_cached = fetched or choice.cached < sum(
+            tokens for _, tokens in shared_parts
+        )
+        if shared_parts and is_newly_cached and not self.peers.small:
             info = choice.target.info
-            self.peers.tell_far(Held(info.name, shared), info.failure_domain)
+            self.peers.tell_far(Held(info.name, shared_parts), info.failure_domain)
 
     def record_first_byte(self, outgoing: Outgoing) -> None:
         """Record that the target began to answer, and tell the other routers."""
--- a/anvilshift/gateway/border.py
+++ b/anvilshift/gateway/border.py
@@ -78,7 +78,7 @@
     identity
         Id of the request that it answers; None if the answer states none.
     signed
-        Whether the answer bears the target's signature.
+        Whether the answer has a signature of the target.
     not_run
         Whether the target states that it did not run the request.
     misdirected
--- a/anvilshift/gateway/conversation.py
+++ b/anvilshift/gateway/conversation.py
@@ -70,7 +70,7 @@
     is_fresh: Callable[[], bool]
     _lending_tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
-    def make_beat(self) -> Beat:
+    def make_heartbeat(self) -> Beat:
         """Return this router's heartbeat."""
         table = self.shared.table
         return Beat(
@@ -88,7 +88,7 @@
 
     # Tokens
 
-    def note_routers(self) -> None:
+    def update_routers(self) -> None:
         """Update the set of present routers, and with it the keepers of tokens."""
         peers = self.peers.list_present()
         names = {one.beat.router for one in peers if not one.beat.leaving}
@@ -122,7 +122,7 @@
         self.peers.send(ask, peer.beat.ip)
         return True
 
-    def return_idle(self) -> None:
+    def return_unused_tokens(self) -> None:
         """Return the unused tokens of this router to the keepers."""
         for gift, ip in self.reservations.return_idle(self._find_keeper):
             self.peers.send(gift, ip)
@@ -145,7 +145,7 @@
         if answer is not None:
             self.peers.send(answer, ask.ip)
 
-    def hear(self, message: Message) -> None:
+    def handle_message(self, message: Message) -> None:
         """Handle a message of another router."""
         now = self.clock.now()
         if isinstance(message, Sent):
@@ -208,7 +208,7 @@
             self.journal.write("target_leaving", target=target, told=True)
             self.loads.declare(replace(known.info, leaving=True))
 
-    def greet(self, beat: Beat) -> None:
+    def send_known_state(self, beat: Beat) -> None:
         """Send a new router what it needs to know of the time before its start.
 
         These are the spending of former incarnations of its host, the marks of the
@@ -227,12 +227,12 @@
         for limited in self.limits.list_limits():
             self.peers.send(limited, beat.ip)
 
-    def tell_mark(self, mark: Mark) -> None:
+    def send_mark(self, mark: Mark) -> None:
         """Send the other routers a new mark of the store's history."""
         age = self.clock.now() - mark.followed
         self.peers.tell(Marked(((mark.revision, age),)))
 
-    def say_farewell(self) -> None:
+    def send_farewell(self) -> None:
         """Send the other routers this router's final spending.
 
         Nothing may be spent after this call.
@@ -242,22 +242,22 @@
             for _ in range(_FAREWELL_COPIES):
                 self.peers.send(farewell, peer.beat.ip)
 
-    def lose(self, peer: Peer) -> None:
+    def handle_router_loss(self, peer: Peer) -> None:
         """Remove the runs of a router that is lost."""
         self.loads.forget_runs(f"{peer.beat.incarnation}/")
 
-    def note_replaced(self, name: str) -> None:
+    def handle_replaced_target(self, name: str) -> None:
         """Stop using a target whose address another target has taken over.
 
         The old target's entry stays in the store for some seconds.  If the routers
         went on using it, each request there would fail and take a retry from the
         budget that all requests share.
         """
-        self.note_lost(name)
+        self.handle_lost_target(name)
         self._mark_leaving(name)
         self.peers.tell(Leaving(name))
 
-    def note_lost(self, name: str) -> None:
+    def handle_lost_target(self, name: str) -> None:
         """Blame the content that was running at a target that is found lost.
 
         The other routers are told of each blamed content.
--- a/anvilshift/gateway/crashes.py
+++ b/anvilshift/gateway/crashes.py
@@ -80,8 +80,8 @@
         Prompts that share all parts but the last get the same home targets, so the
         shared parts are cached there.
         """
-        shared = prompt.parts[:-1]
-        return shared[-1][0] if shared else self._content
+        shared_parts = prompt.parts[:-1]
+        return shared_parts[-1][0] if shared_parts else self._content
 
     def charge_target(self, target: str) -> None:
         """Charge the content with a target to which it is about to be sent."""
--- a/anvilshift/gateway/node.py
+++ b/anvilshift/gateway/node.py
@@ -71,8 +71,8 @@
     Parameters
     ----------
     born
-        Reading of the clock by which its process had started; None when the process
-        runs other nodes as well.
+        Reading of the clock at which its process was already running; None unless the
+        process runs this node only.
     """
 
     def __init__(
@@ -148,7 +148,7 @@
             self.peers,
             clock,
             journal,
-            self.messenger.note_lost,
+            self.messenger.handle_lost_target,
         )
         self.configuration_follower = Follower(
             store,
@@ -192,12 +192,15 @@
             lambda: self.configuration_follower.is_fresh(),
         )
         self.peers.hooks = Hooks(
-            messenger.hear, messenger.lose, messenger.make_beat, messenger.greet
+            messenger.handle_message,
+            messenger.handle_router_loss,
+            messenger.make_heartbeat,
+            messenger.send_known_state,
         )
         self.reservations.ask = messenger.ask_for_tokens
-        self.recorder.tell_mark = messenger.tell_mark
-        self.shared.note_lost = messenger.note_lost
-        self.shared.note_replaced = messenger.note_replaced
+        self.recorder.tell_mark = messenger.send_mark
+        self.shared.note_lost = messenger.handle_lost_target
+        self.shared.note_replaced = messenger.handle_replaced_target
         return messenger
 
     # The configuration
@@ -295,7 +298,7 @@
             self.target_follower.run(),
             self.allotter.run(),
             self._record(),
-            self._run_clock(),
+            self._run_tick_loop(),
         )
         self._tasks = [loop.create_task(coroutine) for coroutine in coroutines]
         for task in self._tasks:
@@ -312,7 +315,7 @@
             self.journal.write("part_ended", why=repr(task.exception()))
             raise SystemExit(1)
 
-    async def _run_clock(self) -> None:
+    async def _run_tick_loop(self) -> None:
         """Run the periodic work, and detect that this process was suspended.
 
         A suspended host stops the steady clock, but not the boot-time clock.
@@ -343,14 +346,14 @@
         if not self.target_follower.is_fresh():
             self.targets.register.note_outage()
         self.targets.register.sweep()
-        self.messenger.note_routers()
+        self.messenger.update_routers()
         routers = 1 + len(self.peers.list_present())
         self.shared.retries.limit(self.settings.find_retry_reserve(routers))
         for follower in (self.configuration_follower, self.target_follower):
             follower.stretch = find_stretch(routers)
         self.recorder.routers = self.keepers.count_recording()
         self.allotter.wallet.set_provable(self.recorder.is_provable())
-        self.messenger.return_idle()
+        self.messenger.return_unused_tokens()
         self.loads.expire(now)
         self.permits.sweep(now)
         for target in self.loads.targets.values():
@@ -387,7 +390,7 @@
                 await self.allotter.close()
         except (TimeoutError, AnvilshiftError) as error:
             self.journal.write("shares_not_handed_back", why=repr(error))
-            self.messenger.say_farewell()
+            self.messenger.send_farewell()
         self.journal.write("stop_ended", cut_off=self.in_flight)
 
     async def close(self) -> None:
--- a/anvilshift/gateway/passing.py
+++ b/anvilshift/gateway/passing.py
@@ -37,7 +37,7 @@
 from anvilshift.gateway.attempts import Answer, AttemptError, Outgoing
 from anvilshift.gateway.border import Call, Delivery
 from anvilshift.gateway.crashes import CrashTracker, digest_request
-from anvilshift.gateway.relaying import WHOLE, AnswerRelay
+from anvilshift.gateway.relaying import COMPLETE, AnswerRelay
 from anvilshift.gateway.shared import Shared
 from anvilshift.gateway.turns import Turn
 from anvilshift.wire.messages import HttpRequest
@@ -178,7 +178,7 @@
         if not self.may_have_run:
             return 0
         most = prompt.tokens + prompt.most_answer + model.tokens_an_event
-        if self.relay.outcome == WHOLE:
+        if self.relay.outcome == COMPLETE:
             generated = self.relay.events * model.tokens_an_event
             return prompt.tokens + min(generated, prompt.most_answer)
         if self.relay.broken or self.rule.kind is not RequestKind.STREAMING:
@@ -374,9 +374,9 @@
         self.targets += 1
         self.crashes.charge_target(self.target)
         try:
-            async with asyncio.timeout(self._compute_timeout(choice, left)) as bound:
+            async with asyncio.timeout(self._compute_timeout(choice, left)) as timeout:
                 async with shared.sender.send(outgoing) as answer:
-                    await self._relay_answer(outgoing, answer, bound)
+                    await self._relay_answer(outgoing, answer, timeout)
                     return True
         except AttemptError as error:
             if error.never_ran:
@@ -417,18 +417,18 @@
     # Answers
 
     async def _relay_answer(
-        self, outgoing: Outgoing, answer: Answer, bound: asyncio.Timeout
+        self, outgoing: Outgoing, answer: Answer, timeout: asyncio.Timeout
     ) -> None:
         success = 200 <= answer.status < 300
         if success and not answer.notes.signed:
             detail = "the answer is unsigned"
             raise AttemptError(Failure.BROKE_OFF, detail, answered=True)
         if success and self.rule.kind is RequestKind.STREAMING:
-            silence = bound_silence(self.rule) if self._may_go_on() else None
-            begin = partial(self._record_first_byte, outgoing)
-            await self.relay.stream(answer, bound, silence, begin)
+            max_silence = bound_silence(self.rule) if self._may_go_on() else None
+            on_first_event = partial(self._record_first_byte, outgoing)
+            await self.relay.stream(answer, timeout, max_silence, on_first_event)
             return
-        body = await self.relay.read_whole(answer)
+        body = await self.relay.read_complete(answer)
         self._record_first_byte(outgoing)
         failed = answer.status >= 500 and self._may_go_on()
         if failed or self.relay.started:
@@ -437,7 +437,7 @@
         if self.model is None:
             took = self.shared.clock.now() - self.arrived
             self.shared.mean_work(self.service).add(took)
-        await self.relay.send_whole(answer, body)
+        await self.relay.send_complete(answer, body)
 
     def _record_first_byte(self, outgoing: Outgoing) -> None:
         """Record that the target began to answer, and how long that took."""
--- a/anvilshift/gateway/relaying.py
+++ b/anvilshift/gateway/relaying.py
@@ -12,7 +12,7 @@
 from anvilshift.wire.messages import Fields, list_hop_headers
 from anvilshift.wire.server import Responder
 
-WHOLE = "whole"
+COMPLETE = "whole"
 _MAX_ANSWER_BYTES = 8 * 1024 * 1024
 """Size limit of an answer that is read completely before it is sent to the caller."""
 _FRAMING_HEADERS = frozenset(
@@ -57,13 +57,13 @@
         """Return whether the headers of the answer were sent to the caller."""
         return self.responder.started
 
-    async def read_whole(self, answer: Answer) -> bytes:
+    async def read_complete(self, answer: Answer) -> bytes:
         """Read and return the body of a short answer."""
         body = await answer.response.read(_MAX_ANSWER_BYTES)
         self.first = self.clock.now()
         return body
 
-    async def send_whole(self, answer: Answer, body: bytes) -> None:
+    async def send_complete(self, answer: Answer, body: bytes) -> None:
         """Send a short answer whose body was read completely."""
         self.outcome = f"status {answer.status}"
         length = ("content-length", str(len(body)))
@@ -74,19 +74,19 @@
     async def stream(
         self,
         answer: Answer,
-        bound: asyncio.Timeout,
-        silence: Millis | None,
-        begin: Callable[[], None],
+        timeout: asyncio.Timeout,
+        max_silence: Millis | None,
+        on_first_event: Callable[[], None],
     ) -> None:
-        """Relay a stream, complete events only.
+        """Relay a stream, one or more complete events at a time.
 
         Parameters
         ----------
-        bound
+        timeout
             Timeout of the attempt; each event moves its deadline.
-        silence
+        max_silence
             Time without an event after which the attempt fails; None for no limit.
-        begin
+        on_first_event
             Called at the first event of the attempt.
 
         Raises
@@ -103,18 +103,20 @@
                 if not whole:
                     continue
                 if not self.events - received:
-                    begin()
+                    on_first_event()
                 self.last_id = splitter.last_id or self.last_id
                 self.events = received + splitter.count
-                until = None if silence is None else loop.time() + silence / SECOND
-                bound.reschedule(until)
+                until = (
+                    None if max_silence is None else loop.time() + max_silence / SECOND
+                )
+                timeout.reschedule(until)
                 self._record_event_time()
                 await self._send_headers(answer)
                 await self.responder.write(whole)
         except ExchangeError as error:
             raise AttemptError(Failure.BROKE_OFF, str(error)) from error
         await self._send_headers(answer)
-        self.outcome = "whole after a break" if self.broken else WHOLE
+        self.outcome = "whole after a break" if self.broken else COMPLETE
         await self.responder.finish(splitter.rest)
 
     async def _send_headers(self, answer: Answer) -> None:
