--- a/anvilshift/gateway/conversation.py
+++ b/anvilshift/gateway/conversation.py
@@ -136,11 +136,11 @@
         return None
 
     def _handle_ask(self, ask: Ask) -> None:
-        task = asyncio.get_running_loop().create_task(self._lend(ask))
+        task = asyncio.get_running_loop().create_task(self._lend_tokens(ask))
         self._lending_tasks.add(task)
         task.add_done_callback(self._lending_tasks.discard)
 
-    async def _lend(self, ask: Ask) -> None:
+    async def _lend_tokens(self, ask: Ask) -> None:
         answer = await self.reservations.lend(ask)
         if answer is not None:
             self.peers.send(answer, ask.ip)
--- a/anvilshift/gateway/node.py
+++ b/anvilshift/gateway/node.py
@@ -366,7 +366,8 @@
 
         The router is first left out of the address lists.  It goes on serving until
         callers have dropped the lists that still name it and no request is running,
-        then returns its shares to the store.
+        then returns its shares to the store.  If the store does not answer, it sends
+        its spending to the other routers, which end its shares in its place.
         """
         self.leaving = True
         self.journal.write("stop_begun", in_flight=self.in_flight)
