--- a/anvilshift/gateway/__init__.py
+++ b/anvilshift/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Pass callers' HTTP requests through to targets and answer for the outcome."""
+"""Forward callers' HTTP requests to targets and report their outcomes."""
--- a/anvilshift/gateway/allotting.py
+++ b/anvilshift/gateway/allotting.py
@@ -1,8 +1,8 @@
-"""Keep this router's shares of the prepaid totals in the platform's store.
+"""Maintain this router's shares of the prepaid totals in the platform's store.
 
-One object holds all organisations' allotments; it changes by conditional
-update only.  Requests spend from the wallet without a call; this module draws
-and gives back in the background.
+One object holds the allotments of all organisations and changes only by
+conditional updates.  Requests spend from the wallet without a call to the store;
+this module draws tokens and returns unused ones in the background.
 """
 
 import asyncio
@@ -24,52 +24,59 @@
 
 KIND = "anvilshift-allotments"
 NAME = "main"
-_LOOK: Millis = 250.0
-"""Between two looks at the cushions: a cushion lasts for seconds."""
-_SPACING: Millis = 100.0
-"""Least time between two writes: requests that wait for tokens are drawn for
-together, at a delay that is small against a first token's."""
-_LEISURE: Millis = 800.0
-"""Least time between two writes that no request waits for; each is priced, and a
-cushion lasts for many of these."""
-_PAUSE: Millis = 250.0
-"""After a failed write."""
-_DRAWN_AFTER = 2
-"""The first write only tells what is left; the second draws by it."""
-_GREETING: Millis = 120.0
-"""From a start, and from when the last other router was found, to the first write.
-A fleet that starts at once finds its routers one by one: each that wrote before it
-knew them would take itself for a keeper of tokens, and meet the writes of all."""
-_ALONE: Millis = 600.0
-"""From a start to the first write at the most, and while no other router is heard:
-who writes first alone takes what the keepers would have to get back."""
-_STARTING: Millis = 1.5 * SECOND
-"""After a start others may have started too, and end their former shares: what is
-free grows by tenths of a second."""
-_FREE_KNOWN_AT_START: Millis = 200.0
-"""How long what a write found free holds for a router that has just started."""
-_RECENT: Millis = 2.5 * SECOND
-"""What the store said of a total holds for so long: a draw that found nothing is
-made again after two seconds."""
-
-
-async def _settle_nothing() -> None:
+_CHECK_INTERVAL: Millis = 250.0
+"""Interval between checks of the cushions.  A cushion lasts for seconds."""
+_MIN_WRITE_INTERVAL: Millis = 100.0
+"""Minimum time between two writes.  Requests that wait for tokens share one write,
+and the added delay is small compared with the time to a first token."""
+_MIN_IDLE_WRITE_INTERVAL: Millis = 800.0
+"""Minimum time between two writes while no request waits for tokens.  Each write is
+priced, and a cushion lasts for many of these intervals."""
+_RETRY_PAUSE: Millis = 250.0
+"""Pause after a failed write."""
+_FIRST_WRITES = 2
+"""Writes before the minimum interval applies: the first only reads how many tokens
+are left, the second draws accordingly."""
+_DISCOVERY_DELAY: Millis = 120.0
+"""Delay of the first write after the start and after the latest discovery of another
+router.  Routers that start together discover one another one by one: a router that
+wrote earlier would consider itself a keeper of tokens, and its write would conflict
+with those of all others."""
+_MAX_FIRST_WRITE_DELAY: Millis = 600.0
+"""Maximum delay of the first write after the start, also used while no other router
+is heard.  A router that writes before it knows the others draws tokens that the
+keepers then have to get back."""
+_START_PERIOD: Millis = 1.5 * SECOND
+"""How long after the start other routers may be starting as well.  They end the
+shares of their former incarnations, so the number of free tokens grows within tenths
+of a second."""
+_FREE_KNOWN_FOR_AT_START: Millis = 200.0
+"""How long the number of free tokens found by a write counts as current at a router
+that has just started."""
+_TOTALS_MAX_AGE: Millis = 2.5 * SECOND
+"""How long what the store reported of a total counts as current.  A draw that found no
+free tokens is repeated after two seconds."""
+
+
+async def _find_no_former() -> None:
     return None
 
 
 @dataclass
 class Allotter:
-    """Draw, spend and give back tokens.
+    """Draw tokens from the shared totals and return unused ones.
 
     Parameters
     ----------
     node
-        Name of the host, the same after a restart: former incarnations there
-        have ended.
+        Name of the host, which a restart doesn't change: all former incarnations
+        there have ended.
     holder
         Name of this incarnation.
+    settle_former
+        Returns the former incarnation of this host with bounds on what it spent.
     alone, found_at
-        Whether no other router is heard, and when one was found last.
+        Whether no other router is heard, and when one was last discovered.
     """
 
     store: ObjectStore
@@ -78,75 +85,75 @@
     clock: Clock
     journal: Journal
     settle_former: Callable[[], Awaitable[tuple[str, dict[str, Spent]] | None]] = (
-        _settle_nothing
+        _find_no_former
     )
     totals: Totals = field(default_factory=lambda: Totals(0))
     _wake: asyncio.Event = field(default_factory=asyncio.Event)
-    _round: asyncio.Event = field(default_factory=asyncio.Event)
+    _round_ended: asyncio.Event = field(default_factory=asyncio.Event)
     failing: bool = False
     ended: dict[str, dict[str, Spent]] = field(default_factory=dict)
     rounds: int = 0
     alone: bool = True
     found_at: Millis = -1e12
     _writes: int = 0
-    _written: Millis = -1e12
+    _updated_at: Millis = -1e12
 
     def __post_init__(self) -> None:
         self.wallet = Wallet(self.holder)
         self._object = CachedObject(self.store, KIND, NAME)
         self._begun = False
-        self._looked = False
+        self._former_settled = False
         self._closed = False
-        self._made = self.clock.now()
+        self._started_at = self.clock.now()
 
     def configure(self, version: int, totals: Mapping[str, int | None]) -> None:
-        """Take in the prepaid totals of a configuration."""
+        """Apply the prepaid totals of a configuration; None means no limit."""
         limited = {name: total for name, total in totals.items() if total is not None}
         self.totals = Totals(version, limited)
         self.wallet.configure(totals, self.clock.now())
         self._wake.set()
 
     def wake(self) -> None:
-        """Look at the shares soon: a request waits."""
+        """Trigger a check of the shares, because a request waits for tokens."""
         self._wake.set()
 
     async def wait_round(self) -> None:
-        """Wait for the end of a write, or for a gift."""
-        await self._round.wait()
+        """Wait until a write ends or tokens arrive from another router."""
+        await self._round_ended.wait()
 
     def find_age(self) -> Millis:
-        """Return the time since the store last told of the shares."""
-        return self.clock.now() - self._written
+        """Return the time since the shares were last read from the store."""
+        return self.clock.now() - self._updated_at
 
     def has_just_started(self) -> bool:
-        """Tell whether the shares of routers that started with this one may be open."""
-        return self.clock.now() - self._made < _STARTING
+        """Tell whether other starting routers may still have former shares to end."""
+        return self.clock.now() - self._started_at < _START_PERIOD
 
     def is_exhausted(self, name: str, tokens: int) -> bool:
-        """Tell whether a total certainly can't cover as many tokens now."""
-        recent = self.find_age() < _RECENT
+        """Tell whether a total is known to be too small for a number of tokens."""
+        recent = self.find_age() < _TOTALS_MAX_AGE
         return recent and self.wallet.is_exhausted(name, tokens)
 
     def note_ended(self, holder: str, spent: Mapping[str, int]) -> None:
-        """Take in what another router spent, which has ended."""
+        """Record the final spending of another router that has ended."""
         self.ended[holder] = {name: Spent(one, one) for name, one in spent.items()}
         self._wake.set()
 
     @property
     def begun(self) -> bool:
-        """Tell whether this router has a share, and its former ones are ended."""
+        """Tell whether its share is set up and those of former incarnations ended."""
         return self._begun
 
     def list_spent(self) -> dict[str, int]:
-        """Return what this router has spent or reserved."""
+        """Return the tokens spent or reserved here, by organisation."""
         return {name: purse.spent for name, purse in self.wallet.purses.items()}
 
     async def run(self) -> None:
-        """Draw and give back for ever."""
-        await self._look_at_former()
+        """Draw and return tokens until cancelled."""
+        await self._try_settle_former()
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(_LOOK / SECOND):
+                async with asyncio.timeout(_CHECK_INTERVAL / SECOND):
                     await self._wake.wait()
             self._wake.clear()
             if not self.totals.version or not self._needs_write():
@@ -155,14 +162,17 @@
                 await self._write()
             except AnvilshiftError as error:
                 self._note_failure(error)
-                await asyncio.sleep(_PAUSE / SECOND)
+                await asyncio.sleep(_RETRY_PAUSE / SECOND)
             finally:
                 self.rounds += 1
                 self.end_round()
-            await asyncio.sleep(_SPACING / SECOND)
+            await asyncio.sleep(_MIN_WRITE_INTERVAL / SECOND)
 
-    async def _look_at_former(self) -> None:
-        """Settle the former process' share first: each second makes it dearer."""
+    async def _try_settle_former(self) -> None:
+        """Settle the former process' share first.
+
+        The bound on what that process spent grows with the time until then.
+        """
         try:
             await self._settle_former()
         except AnvilshiftError as error:
@@ -170,9 +180,9 @@
 
     async def _settle_former(self) -> None:
         former = await self.settle_former()
-        self._looked = True
+        self._former_settled = True
         if former is not None:
-            # What it said itself at its end is nearer than a bound.
+            # Spending reported by the process itself is more exact than a bound.
             self.ended.setdefault(*former)
 
     def _needs_write(self) -> bool:
@@ -180,19 +190,26 @@
         if self._closed:
             return False
         if not self._begun:
-            # Others may know what this host's former incarnation spent.
-            settled = now - max(self._made, self.found_at) >= _GREETING
-            return now - self._made >= _ALONE or (settled and not self.alone)
+            # Other routers may report what the former incarnation here spent.
+            discovery_over = (
+                now - max(self._started_at, self.found_at) >= _DISCOVERY_DELAY
+            )
+            return now - self._started_at >= _MAX_FIRST_WRITE_DELAY or (
+                discovery_over and not self.alone
+            )
         if self.wallet.is_waited_for(now):
             return True
         if self.ended.keys() & self.wallet.seen.list_holders():
             return True
-        rested = self.rounds < _DRAWN_AFTER or now - self._written >= _LEISURE
-        return rested and self.wallet.wants_change(now)
+        interval_over = (
+            self.rounds < _FIRST_WRITES
+            or now - self._updated_at >= _MIN_IDLE_WRITE_INTERVAL
+        )
+        return interval_over and self.wallet.wants_change(now)
 
     def end_round(self) -> None:
-        """Wake who waits for a round, each of them once."""
-        done, self._round = self._round, asyncio.Event()
+        """Wake all callers of `wait_round`."""
+        done, self._round_ended = self._round_ended, asyncio.Event()
         done.set()
 
     def _note_failure(self, error: AnvilshiftError) -> None:
@@ -203,8 +220,8 @@
             )
 
     async def _write(self) -> None:
-        """Write the wishes, and take in what was granted."""
-        if not self._looked:
+        """Write this router's requests for shares and apply what was granted."""
+        if not self._former_settled:
             await self._settle_former()
         if not self._begun and await self._begin_empty():
             return
@@ -214,10 +231,10 @@
         mark = f"{self.holder}:{self._writes}"
 
         def change(body: Body | None) -> Body:
-            # A write without an answer may take effect later, if its condition
-            # still holds.  So each write changes the object, by its mark, and
-            # only a write that was answered is counted on: then no earlier one
-            # of this router can take effect any more.
+            # An unanswered write may take effect later, if its condition still
+            # holds.  The mark makes each write change the object, and this router
+            # spends only what an answered write granted: after that no earlier
+            # write of this router can take effect.
             if body is not None and body.get("mark") == mark:
                 return body
             allotments = self._end_former(read_allotments(body))
@@ -226,19 +243,21 @@
 
         stored = await self._object.update(change)
         self._begun = True
-        self._written = self.clock.now()
-        known_for = _FREE_KNOWN_AT_START if self.has_just_started() else FREE_KNOWN_FOR
-        self.wallet.take(read_allotments(stored.body), self._written, known_for)
+        self._updated_at = self.clock.now()
+        known_for = (
+            _FREE_KNOWN_FOR_AT_START if self.has_just_started() else FREE_KNOWN_FOR
+        )
+        self.wallet.take(read_allotments(stored.body), self._updated_at, known_for)
         self._log_shares(stored.version, list(wishes))
         if self.failing:
             self.failing = False
             self.journal.write("shares_regained")
 
     async def _begin_empty(self) -> bool:
-        """Begin without a share, where none is needed and no former one is left.
+        """Begin without a write if no share is needed and no former one is left.
 
-        In a large fleet all routers start at once; if each wrote the one object, they
-        would meet one another's writes for seconds.
+        In a large fleet all routers start at once.  If each of them wrote the shared
+        object, their writes would conflict for seconds.
         """
         if self.wallet.keeps_any():
             return False
@@ -247,12 +266,12 @@
         if any(self._is_former(holder) for holder in allotments.list_holders()):
             return False
         self._begun = True
-        self._written = self.clock.now()
-        self.wallet.take(allotments, self._written)
+        self._updated_at = self.clock.now()
+        self.wallet.take(allotments, self._updated_at)
         return True
 
     def _is_former(self, holder: str) -> bool:
-        """Tell whether a holder is a former incarnation of this host."""
+        """Tell whether a holder is a former incarnation on this host."""
         return holder != self.holder and holder.rpartition(".")[0] == self.node
 
     def _log_shares(self, revision: int, asked: list[str]) -> None:
@@ -272,7 +291,8 @@
     def _end_former(self, allotments: Allotments) -> Allotments:
         """End the shares of routers that have ended.
 
-        Of this host's former incarnations, and of those that said farewell.
+        These are former incarnations on this host, and routers that sent a
+        farewell.
         """
         for holder in allotments.list_holders() - {self.holder}:
             spent = self.ended.get(holder)
@@ -287,7 +307,7 @@
         return allotments
 
     async def close(self) -> None:
-        """Give everything back that was not spent."""
+        """End this router's share, which returns all unspent tokens to the total."""
         self._closed = True
         spent = {name: Spent(one, one) for name, one in self.list_spent().items()}
         for purse in self.wallet.purses.values():
@@ -302,7 +322,7 @@
 
 
 def read_allotments(body: Body | None) -> Allotments:
-    """Return the allotments that a stored body holds; none is an empty one."""
+    """Return the allotments in a stored body; a missing body has none."""
     if not body:
         return Allotments()
     return decode(Allotments, {"organisations": body.get("organisations", {})})
--- a/anvilshift/gateway/following.py
+++ b/anvilshift/gateway/following.py
@@ -1,7 +1,7 @@
 """Follow the operators' configuration and the targets in the platform's store.
 
-Both are followed by watches.  A watch may go silent, lose its history or be
-cut, so each call is short, and anything unexpected begins anew with a list.
+Both are followed by watches.  A watch may hang, fall behind the store's history or
+lose its connection.  So each call is short, and a lost history causes a new list.
 """
 
 import asyncio
@@ -13,49 +13,50 @@
 from anvilshift.gateway.journal import Journal
 from anvilshift.objects.store import Body, Change, ObjectStore
 
-_PAUSE: Millis = 300.0
-"""After a failed call."""
-_PAUSE_GROWTH, _MOST_PAUSE = 1.5, 900.0
-"""After each further one the pause is longer by the first, up to the second in
-milliseconds: calls in vain are priced too, and the store's return is still seen well
-within the bounds that begin with it."""
-_SCOUT_POLL: Millis = 50.0
-"""Between two looks at what a scout found."""
-_RETURN: Millis = 2_200.0
-"""Entries of targets that live are back in the store about 2 s after it is."""
-_STALE: Millis = 1_000.0
-"""A watch whose end is overdue by so long tells that the store is out of reach."""
-_FEW = 4
-_MOST_STRETCH = 2.7
+_FIRST_PAUSE: Millis = 300.0
+"""Pause after the first failed call."""
+_PAUSE_GROWTH, _MAX_PAUSE = 1.5, 900.0
+"""Growth of the pause with each further failure, and its maximum in milliseconds.
+Failed calls are priced too.  The maximum is short enough to notice the store's return
+well within the time limits that start with it."""
+_SCOUT_POLL_INTERVAL: Millis = 50.0
+"""Interval between checks of the scout's state."""
+_REGISTRATION_TIME: Millis = 2_200.0
+"""Time for targets to register again after an outage: entries of running targets are
+back about 2 s after the store is reachable."""
+_WATCH_GRACE: Millis = 1_000.0
+"""The store counts as unreachable when a watch is overdue by this much."""
+_UNSTRETCHED_ROUTERS = 4
+_MAX_STRETCH = 2.7
 
 
 def find_stretch(routers: int) -> float:
-    """Return how many times longer watches and rests are in a larger fleet.
+    """Return the factor by which watches and rests are longer in a larger fleet.
 
-    Each call is priced, and the store's rate grows more slowly than the fleet.  What
-    changes ends a watch at once all the same; a longer one only notices later that
-    its connection has gone silent.
+    Each call is priced, and the store's rate grows more slowly than the fleet.  A
+    change still ends a watch at once; a longer watch only detects a hanging connection
+    later.
 
     Examples
     --------
     >>> find_stretch(4), find_stretch(6), find_stretch(2_000)
     (1.0, 1.5, 2.7)
     """
-    return min(max(1.0, routers / _FEW), _MOST_STRETCH)
+    return min(max(1.0, routers / _UNSTRETCHED_ROUTERS), _MAX_STRETCH)
 
 
 @dataclass(frozen=True)
 class Pace:
-    """How one kind is followed.
+    """Durations for following one kind of object.
 
     Parameters
     ----------
     wait
-        Longest time of one watch: a watch that has gone silent for good, with its
-        connection open, is noticed then.
+        Maximum duration of a watch, after which a watch that hangs on an open
+        connection is detected.
     rest
-        Pause after a watch that brought something: changes that come many times
-        a second are taken together, for each call is priced.
+        Pause after a watch that returned changes.  Frequent changes are thus read
+        together, because each call is priced.
     """
 
     wait: Millis
@@ -69,12 +70,17 @@
     Parameters
     ----------
     change
-        Called with each object that is there, was written or was removed.
+        Called with each object that exists, was written or was removed.
     settle
-        Called with the names that are there after a list.
+        Called after a list with the names of all existing objects.
     scout
-        Another follower of the same store: while that one finds it out of reach,
-        this one waits for its word, so that one call in vain is made and not two.
+        Another follower of the same store.  While the scout finds the store
+        unreachable, this follower waits for it instead of making calls that would
+        fail as well.
+    seen
+        When the store last answered.
+    stretch
+        Factor on the durations, see `find_stretch`.
     """
 
     store: ObjectStore
@@ -93,16 +99,16 @@
     _restart: bool = False
 
     def is_fresh(self) -> bool:
-        """Tell whether the store answered lately."""
-        overdue = self.pace.wait * self.stretch + _STALE
+        """Tell whether the store answered recently."""
+        overdue = self.pace.wait * self.stretch + _WATCH_GRACE
         return not self._lost and self.clock.now() - self.seen < overdue
 
     def restart(self) -> None:
-        """Begin anew with a list; what is known may be old."""
+        """Begin again with a list, because the known state may be outdated."""
         self._restart = True
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Follow the objects until cancelled."""
         while True:
             try:
                 if not self.revision or self._restart:
@@ -114,14 +120,14 @@
                 await self._rest()
 
     async def _rest(self) -> None:
-        """Wait after a failed call."""
-        pause = min(_PAUSE * _PAUSE_GROWTH**self._failures, _MOST_PAUSE)
+        """Wait after a failed call, and for the scout while it fails."""
+        pause = min(_FIRST_PAUSE * _PAUSE_GROWTH**self._failures, _MAX_PAUSE)
         self._failures += 1
         await asyncio.sleep(pause / SECOND)
-        # The scout may itself hang on a connection that has gone silent.
-        most = self.clock.now() + _MOST_PAUSE
-        while self.scout and self.scout._lost and self.clock.now() < most:
-            await asyncio.sleep(_SCOUT_POLL / SECOND)
+        # The wait is limited, because the scout may itself hang on a connection.
+        deadline = self.clock.now() + _MAX_PAUSE
+        while self.scout and self.scout._lost and self.clock.now() < deadline:
+            await asyncio.sleep(_SCOUT_POLL_INTERVAL / SECOND)
 
     def _note_failure(self, error: AnvilshiftError) -> None:
         if not self._lost:
@@ -162,46 +168,53 @@
 
 @dataclass
 class Register:
-    """The targets' entries, and which of them are gone.
+    """The targets' entries in the store, and which of them are missing.
 
-    An entry may lapse while its target lives, because the store was away and the
-    target could not renew it.  So an entry that is missed just after an outage is
-    given time to come back.
+    An entry may expire while its target runs, because the target could not renew it
+    during an outage of the store.  So an entry that is missing just after an outage
+    is removed only if it stays missing for a while.
+
+    Parameters
+    ----------
+    remove
+        Called with the name of a target whose entry is gone for good.
+    outage_until
+        When the store was last unreachable.
     """
 
     clock: Clock
     remove: Callable[[str], None]
     bodies: dict[str, Body] = field(default_factory=dict)
     outage_until: Millis = -1e12
-    _missing: dict[str, Millis] = field(default_factory=dict)
+    _missing_until: dict[str, Millis] = field(default_factory=dict)
 
     def note_outage(self) -> None:
-        """Take in that the store is out of reach now."""
+        """Record that the store is unreachable now."""
         self.outage_until = self.clock.now()
 
     def put(self, name: str, body: Body) -> None:
-        """Take in an entry."""
+        """Add or update an entry."""
         self.bodies[name] = body
-        self._missing.pop(name, None)
+        self._missing_until.pop(name, None)
 
     def drop(self, name: str) -> None:
-        """Take in that an entry is missing."""
+        """Record that an entry is missing."""
         now = self.clock.now()
-        due = max(now, self.outage_until + _RETURN)
+        due = max(now, self.outage_until + _REGISTRATION_TIME)
         if name in self.bodies:
-            self._missing.setdefault(name, due)
+            self._missing_until.setdefault(name, due)
         self.sweep()
 
     def settle(self, names: set[str]) -> None:
-        """Take in the names of a whole list."""
+        """Record as missing all entries that a complete list doesn't contain."""
         for name in set(self.bodies) - names:
             self.drop(name)
 
     def sweep(self) -> None:
-        """Remove what has been missing long enough."""
+        """Remove entries that have been missing for long enough."""
         now = self.clock.now()
-        for name, due in list(self._missing.items()):
+        for name, due in list(self._missing_until.items()):
             if due <= now:
-                del self._missing[name]
+                del self._missing_until[name]
                 self.bodies.pop(name, None)
                 self.remove(name)
--- a/anvilshift/gateway/intake.py
+++ b/anvilshift/gateway/intake.py
@@ -1,4 +1,4 @@
-"""Take in what the store says of targets."""
+"""Apply the targets' entries in the store to the load map."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
@@ -17,12 +17,12 @@
 
 @dataclass
 class TargetIntake:
-    """Keep the targets as the store has them, and tell the others who leaves.
+    """Keep the known targets in step with the store; announce targets that leave.
 
     Parameters
     ----------
     note_lost
-        Called with a target that has ended, or that another start has replaced.
+        Called with the name of a target that has ended or was restarted.
     """
 
     dialect: Dialect
@@ -38,7 +38,7 @@
         self.register = Register(self.clock, self.remove)
 
     def take(self, change: Change) -> None:
-        """Take in a target's entry, or that it was removed."""
+        """Apply a target's written or removed entry."""
         if change.body is None:
             self.register.drop(change.name)
             return
@@ -62,7 +62,7 @@
             if known is not None:
                 self.note_lost(info.name)
         elif known.info.leaving and not info.leaving:
-            # Another router knows that it leaves; its entry is older than that.
+            # Another router announced that the target leaves; its entry is older.
             info = replace(info, leaving=True)
         elif info.leaving and not known.info.leaving:
             self.journal.write("target_leaving", target=info.name)
@@ -71,7 +71,7 @@
             self.loads.declare(info)
 
     def remove(self, name: str) -> None:
-        """Take in that a target is gone."""
+        """Remove a target, and announce to the other routers that it is gone."""
         self.note_lost(name)
         self.journal.write("target_gone", target=name)
         self.peers.tell(Leaving(name))
--- a/anvilshift/gateway/limits.py
+++ b/anvilshift/gateway/limits.py
@@ -1,7 +1,7 @@
-"""What targets say of how much they take, known to all routers.
+"""Rate limits that targets announce, shared by all routers.
 
-What an answer names is told to the others, and every router finds the same one that
-issues the permits for a target.
+A limit announced in an answer is sent to the other routers.  Every router determines
+the same router as the issuer of the permits for a target.
 """
 
 import math
@@ -16,33 +16,34 @@
 from anvilshift.gateway.messages import Limited, Paused, SentBefore
 from anvilshift.gateway.peers import Peers
 
-_MOST_TOLD = 40
-"""Requests named in one datagram."""
-_LONGEST_PAUSE: Millis = 5 * SECOND
-"""A target that names more is asked again: nothing else would tell that it is well."""
-_NO_END: Millis = -1.0
+_MAX_LISTED_SENDS = 40
+"""Maximum number of requests listed in one datagram."""
+_MAX_PAUSE: Millis = 5 * SECOND
+"""Maximum pause.  A target that asks for a longer one gets requests again after this
+time, because nothing else shows that it has recovered."""
+_NOT_ENDED: Millis = -1.0
 
 
-def _ignore(target: str) -> None:
+def _do_nothing(target: str) -> None:
     return None
 
 
 @dataclass
 class LimitHooks:
-    """What is done when a target's limit, or who issues its permits, has changed."""
+    """Callbacks for targets whose limit (`change`) or issuer (`move`) has changed."""
 
-    change: Callable[[str], None] = _ignore
-    move: Callable[[str], None] = _ignore
+    change: Callable[[str], None] = _do_nothing
+    move: Callable[[str], None] = _do_nothing
 
 
 @dataclass
 class LimitBook:
-    """What one router knows of limits.
+    """The limits and issuers of all targets as one router knows them.
 
     Parameters
     ----------
     own
-        This router's name among the routers.
+        This router's name.
     """
 
     own: str
@@ -57,17 +58,17 @@
     def __post_init__(self) -> None:
         self.attendance.note({self.own}, (), self.clock.now())
 
-    # What targets name
+    # Limits and pauses announced by targets
 
     def note_answer(
         self, name: str, named: float | None, sent: Millis, identity: str
     ) -> None:
-        """Take in what a target's answer names.
+        """Apply the limit announced in a target's answer.
 
         Parameters
         ----------
         named
-            Requests a second; None for none, NaN for what can't be read.
+            Requests per second; None for no limit, NaN for an unreadable value.
         sent
             When the request was sent.
         """
@@ -82,15 +83,17 @@
         if limit is None or limit is known:
             return
         if limit.is_news(known):
-            self._take(target, limit, id=identity)
+            self._apply_limit(target, limit, id=identity)
             self.peers.tell(self.describe(target, limit))
             return
         target.limit = limit
         if known is not None and limit.rate != known.rate:
             self._tell_issuer(target, limit)
 
-    def _take(self, target: TargetLoad, limit: RateLimit, **source: object) -> None:
-        """Put a limit in force, and log what is new of it."""
+    def _apply_limit(
+        self, target: TargetLoad, limit: RateLimit, **source: object
+    ) -> None:
+        """Put a limit in force, and log it if it differs enough from the known one."""
         known, now = target.limit, self.clock.now()
         target.limit = limit
         if not limit.is_news(known):
@@ -110,26 +113,26 @@
         self.hooks.change(target.info.name)
 
     def note_refusal(self, name: str, pause: Millis, identity: str) -> None:
-        """Take in that a target refused a request and for how long it takes none."""
+        """Record that a target refused a request, and pause it for a time."""
         target = self.loads.targets.get(name)
         if target is None:
             return
-        wait = min(pause, _LONGEST_PAUSE)
+        wait = min(pause, _MAX_PAUSE)
         self.journal.write("target_paused", target=name, wait=wait, id=identity)
         self._pause(target, wait)
         self.peers.tell(Paused(name, target.info.born, wait))
 
     def hear_pause(self, message: Paused) -> None:
-        """Take in what a target told another router."""
+        """Apply a pause that a target announced to another router."""
         target = self.loads.targets.get(message.target)
         if target is not None and target.info.born == message.born:
-            self._pause(target, min(message.wait, _LONGEST_PAUSE))
+            self._pause(target, min(message.wait, _MAX_PAUSE))
 
     def _pause(self, target: TargetLoad, wait: Millis) -> None:
         target.paused_until = max(target.paused_until, self.clock.now() + wait)
 
     def hear_limit(self, message: Limited) -> None:
-        """Take in what another router's answer named."""
+        """Apply a limit that a target announced to another router."""
         target = self.loads.targets.get(message.target)
         if target is None or target.info.born != message.born:
             return
@@ -137,10 +140,10 @@
         ended = None if message.ended_ago < 0 else now - message.ended_ago
         limit = RateLimit(message.rate, now - message.heard_ago, ended)
         if target.limit is None or limit.told > target.limit.told:
-            self._take(target, limit, told=True)
+            self._apply_limit(target, limit, told=True)
 
     def list_limits(self) -> list[Limited]:
-        """Return what a router that has just started must hear."""
+        """Return messages with all current limits, for a router that just started."""
         now = self.clock.now()
         return [
             self.describe(target, target.limit)
@@ -149,9 +152,9 @@
         ]
 
     def describe(self, target: TargetLoad, limit: RateLimit) -> Limited:
-        """Return what other routers are told of a limit."""
+        """Return the message that announces a limit to other routers."""
         now = self.clock.now()
-        ended = _NO_END if limit.ended is None else now - limit.ended
+        ended = _NOT_ENDED if limit.ended is None else now - limit.ended
         info = target.info
         return Limited(info.name, info.born, limit.rate, now - limit.heard, ended)
 
@@ -160,60 +163,63 @@
         if ip is not None:
             self.peers.send(self.describe(target, limit), ip)
 
-    # Who issues
+    # Issuers
 
     def find_issuer(self, name: str) -> str:
         """Return the router that issues the permits for a target."""
         return self.attendance.find_issuer(name)
 
     def find_ip(self, router: str) -> str | None:
-        """Return a router's address; None if it isn't there."""
+        """Return a router's address; None if it isn't present."""
         peer = self.peers.routers.get(router)
         return peer.beat.ip if peer else None
 
     def note_routers(self, names: Collection[str], leaving: Collection[str]) -> None:
-        """Take in which routers are there."""
+        """Update which routers are present and which of them are leaving."""
         before = self.attendance.list_issuers()
         if not self.attendance.note(names or {self.own}, leaving, self.clock.now()):
             return
-        for name in self._list_limited():
+        for name in self._list_limited_targets():
             if self.find_issuer(name) != before.get(name):
                 self.hooks.move(name)
                 self._report_sends(self.loads.targets[name])
 
     def find_rate(self, target: TargetLoad) -> float | None:
-        """Return the requests a second for the routers in touch; None for any."""
+        """Return the rate for all reachable routers, per second; None for no limit."""
         now = self.clock.now()
         rate = target.find_rate(now)
         return None if rate is None else rate * self.attendance.find_part(now)
 
     def end_over(self, now: Millis) -> None:
-        """Forget limits that are over."""
+        """Remove limits that have expired."""
         for name, target in self.loads.targets.items():
             if target.limit is not None and target.find_rate(now) is None:
                 self.journal.write("limit_over", target=name)
                 target.limit = None
                 self.hooks.change(name)
 
-    def _list_limited(self) -> list[str]:
+    def _list_limited_targets(self) -> list[str]:
         now = self.clock.now()
         targets = self.loads.targets.items()
         return [name for name, one in targets if one.find_rate(now) is not None]
 
     def _report_sends(self, target: TargetLoad) -> None:
-        """Tell the issuer what this router sent, where it isn't told of all sends."""
+        """Send the issuer this router's recent sends.
+
+        Only a larger fleet needs this: in a small one the issuer hears of each send.
+        """
         ip = self.find_ip(self.find_issuer(target.info.name))
         if ip is None or self.peers.small:
             return
         now, own = self.clock.now(), f"{self.incarnation}/"
         sends = target.meter.list_since(now - SPAN)
         runs = [(run, now - at) for run, at in sends if run.startswith(own)]
-        for first in range(0, len(runs), _MOST_TOLD):
-            part = tuple(runs[first : first + _MOST_TOLD])
+        for first in range(0, len(runs), _MAX_LISTED_SENDS):
+            part = tuple(runs[first : first + _MAX_LISTED_SENDS])
             self.peers.send(SentBefore(target.info.name, target.info.born, part), ip)
 
     def hear_sends(self, message: SentBefore) -> None:
-        """Take in what another router sent before this one issued permits."""
+        """Count what another router sent before this one issued the permits."""
         target = self.loads.targets.get(message.target)
         if target is not None and target.info.born == message.born:
             for run, age in message.runs:
--- a/anvilshift/gateway/messages.py
+++ b/anvilshift/gateway/messages.py
@@ -1,7 +1,7 @@
-"""What routers tell one another, and its encoding in datagrams.
+"""Messages between routers and their encoding in datagrams.
 
-The messages are soft state: each may be lost.  What was lost of a run's course
-is made good by the next message on it or by its longest time.
+The messages are soft state, and any of them may be lost.  A lost message about a run
+is compensated by the next message about it or by the run's maximum duration.
 """
 
 import json
@@ -12,7 +12,7 @@
 from anvilshift.core.clock import Millis
 
 MAX_DATAGRAM = 1_300
-"""Bytes that a datagram carries without being cut into fragments."""
+"""Maximum bytes of a datagram, so that it isn't split into IP fragments."""
 
 
 @dataclass(frozen=True)
@@ -22,13 +22,15 @@
     Parameters
     ----------
     entrance
-        Where callers connect to it.
+        Address at which callers connect to the router.
     version
-        The configuration that it has in force.
+        Version of the configuration in force at the router.
+    serving, leaving
+        Whether the router accepts requests, and whether it is stopping as planned.
     fresh
         Whether it reached the platform's store within the last seconds.
     known
-        Addresses of the routers that it knows.
+        Addresses of the other routers known to it.
     """
 
     router: str
@@ -45,12 +47,18 @@
 
 @dataclass(frozen=True)
 class Sent:
-    """A run was sent to a target.
+    """A run (one attempt at a request) was sent to a target.
 
     Parameters
     ----------
     disturbing
-        Whether reading its prompt makes streams beside it late.
+        Whether processing the prompt delays other streams at the target.
+    parts
+        Parts of the prompt, each with its number of tokens.
+    tokens, cached
+        Tokens of the prompt, and how many of them are expected to be cached there.
+    most_answer
+        Maximum number of tokens of the answer.
     """
 
     run: str
@@ -64,9 +72,9 @@
 
 @dataclass(frozen=True)
 class Held:
-    """A target's memory now holds parts that other prompts share.
+    """A target now caches parts of a prompt that other prompts share.
 
-    Said to the routers that are not told of each run there.
+    Sent to the routers that don't get a message about each run there.
     """
 
     target: str
@@ -75,7 +83,7 @@
 
 @dataclass(frozen=True)
 class Begun:
-    """A run began to answer."""
+    """A run began to produce its answer."""
 
     run: str
     target: str
@@ -83,7 +91,7 @@
 
 @dataclass(frozen=True)
 class Ended:
-    """A run ended, whatever came of it."""
+    """A run ended, with any outcome."""
 
     run: str
     target: str
@@ -91,14 +99,14 @@
 
 @dataclass(frozen=True)
 class Leaving:
-    """A target leaves or is gone: it gets no new work."""
+    """A target is leaving or gone and gets no new work."""
 
     target: str
 
 
 @dataclass(frozen=True)
 class Blamed:
-    """Content was running at a target that crashed."""
+    """A target crashed while it processed this content."""
 
     content: str
     target: str
@@ -106,17 +114,18 @@
 
 @dataclass(frozen=True)
 class Ask:
-    """A router lacks tokens of an organisation for a request that waits.
+    """A router needs tokens of an organisation for a waiting request.
 
     Parameters
     ----------
     holder
-        The incarnation that asks, and that alone may use a gift.
+        The asking incarnation; only this incarnation may use the gift.
     number
-        Names the ask among the asker's: sent again, it is answered once.
+        Identifies the ask among those of the holder, so that copies are answered
+        once.
     keeping
-        Whether the asker keeps such tokens itself; then it is given what lies
-        ready, and nothing is drawn or asked of others for it.
+        Whether the asking router is itself a keeper of these tokens.  Then it gets
+        only tokens that are ready: none are drawn or asked of others for it.
     """
 
     holder: str
@@ -129,12 +138,14 @@
 
 @dataclass(frozen=True)
 class Gift:
-    """Tokens that one router gives to another.
+    """A transfer of tokens from one router to another.
 
     Parameters
     ----------
     number
-        Names the gift among the giver's, so that it is taken once.
+        Identifies the gift among those of the giver, so that it is counted once.
+    holder
+        The incarnation that receives the tokens.
     """
 
     giver: str
@@ -146,16 +157,16 @@
 
 @dataclass(frozen=True)
 class Lack:
-    """A keeper can't give what was asked for.
+    """A keeper can't provide the tokens of an ask.
 
     Parameters
     ----------
     number
-        The ask that this answers.
+        Number of the ask that this answers.
     certain
-        Whether the total certainly can't cover it.
+        Whether the organisation's total is known to be too small.
     wait
-        Time until the keeper may have it, as far as it knows.
+        Estimated time until the keeper may have the tokens.
     """
 
     holder: str
@@ -167,10 +178,10 @@
 
 @dataclass(frozen=True)
 class Farewell:
-    """A router that ends says what it spent in all.
+    """A stopping router reports its total spending.
 
-    Whoever reaches the store ends its share with that, so that a planned stop
-    strands nothing even while the router itself is cut from the store.
+    Any router that reaches the store uses it to end the share.  So a planned stop
+    makes no tokens unavailable, even if the stopping router can't reach the store.
     """
 
     holder: str
@@ -179,14 +190,15 @@
 
 @dataclass(frozen=True)
 class Marked:
-    """What a router knows of the store's history, for one that has just started.
+    """A router's marks in the store's history, for a router that has just started.
 
-    Without it that one could prove nothing for as long as the history lasts.
+    Without them that router could prove no bound on the age of a record until it has
+    followed the history for the history's whole length.
 
     Parameters
     ----------
     marks
-        Revisions, and for how long at least the change after each has been there.
+        Revisions, each with a lower bound on the age of the change after it.
     """
 
     marks: tuple[tuple[int, Millis], ...]
@@ -194,15 +206,15 @@
 
 @dataclass(frozen=True)
 class Limited:
-    """A target named how many requests a second it takes, or no longer does.
+    """A target announced a limit in requests per second, or no longer announces it.
 
     Parameters
     ----------
     born
-        The start of the target that is meant.
+        Identifies the start of the target, so that a restarted one isn't affected.
     heard_ago, ended_ago
-        Time since an answer named it last, and since one came without it; -1 while
-        the limit stands.
+        Time since the last answer with the limit, and since an answer without it;
+        the latter is -1 while the limit applies.
     """
 
     target: str
@@ -214,12 +226,12 @@
 
 @dataclass(frozen=True)
 class Paused:
-    """A target refused a request, and takes none for a while.
+    """A target refused a request and accepts none for some time.
 
     Parameters
     ----------
     born
-        The start of the target that is meant.
+        Identifies the start of the target, so that a restarted one isn't affected.
     """
 
     target: str
@@ -229,16 +241,16 @@
 
 @dataclass(frozen=True)
 class PermitAsk:
-    """A request could be sent to a target that has named a limit.
+    """A router asks for a permit to send a request to a target with a limit.
 
     Parameters
     ----------
     run
-        Names the attempt: asked again, it gets the same permit.
+        Identifies the attempt; a repeated ask gets the same permit.
     waited
-        Time since the caller's request came.
+        Time since the caller's request arrived.
     patience
-        Time within which a permit is of use.
+        Time within which a permit can still be used.
     """
 
     run: str
@@ -252,12 +264,12 @@
 
 @dataclass(frozen=True)
 class PermitAnswer:
-    """What the issuer says to an ask.
+    """The issuer's answer to a `PermitAsk`.
 
     Parameters
     ----------
     wait
-        Time until a permit is expected, where none was granted.
+        Expected time until a permit is available, if none was granted.
     """
 
     run: str
@@ -267,7 +279,7 @@
 
 @dataclass(frozen=True)
 class PermitDropped:
-    """An ask is given up."""
+    """A `PermitAsk` is withdrawn."""
 
     run: str
     target: str
@@ -275,9 +287,9 @@
 
 @dataclass(frozen=True)
 class SentBefore:
-    """Requests that this router sent to a limited target lately, with their ages.
+    """Requests that the sender recently sent to a limited target, with their ages.
 
-    Said to the router that issues the permits from now on.
+    Sent to the router that issues the permits from now on.
     """
 
     target: str
@@ -330,7 +342,7 @@
 }
 
 
-_TYPES: dict[type[Message], tuple[type, ...]] = {
+_FIELD_TYPES: dict[type[Message], tuple[type, ...]] = {
     kind: tuple(get_origin(hint) or hint for hint in get_type_hints(kind).values())
     for kind in _KINDS.values()
 }
@@ -349,7 +361,7 @@
 
 
 def pack(lines: Iterable[bytes]) -> list[bytes]:
-    r"""Return lines as datagrams, as many in each as fit.
+    r"""Combine encoded messages into datagrams, as many in each as fit.
 
     Examples
     --------
@@ -371,7 +383,7 @@
     Raises
     ------
     ValueError
-        When the bytes are something else.
+        When the bytes are not messages of this version.
 
     Examples
     --------
@@ -383,17 +395,21 @@
 
 def _decode_line(values: Any) -> Message:
     if not isinstance(values, list) or not values:
-        raise ValueError("no message of a router")
+        raise ValueError("not a router message: expected a non-empty list")
     kind = _KINDS.get(str(values[0]))
     if kind is None or len(values) != len(fields(kind)) + 1:
-        raise ValueError("no message of a router, or one of another version")
-    frozen = [_freeze(value) for value in values[1:]]
-    for expected, value in zip(_TYPES[kind], frozen, strict=True):
+        raise ValueError("unknown message type or wrong number of fields")
+    frozen = [_convert_lists(value) for value in values[1:]]
+    for expected, value in zip(_FIELD_TYPES[kind], frozen, strict=True):
         if type(value) is not expected:
-            raise ValueError(f"a {values[0]} has a field of another type")
+            raise ValueError(f"wrong type of a field in message {values[0]}")
     return kind(*frozen)
 
 
-def _freeze(value: Any) -> Any:
+def _convert_lists(value: Any) -> Any:
     """Return a value with its lists as tuples."""
-    return tuple(_freeze(one) for one in value) if isinstance(value, list) else value
+    return (
+        tuple(_convert_lists(one) for one in value)
+        if isinstance(value, list)
+        else value
+    )
--- a/anvilshift/gateway/peers.py
+++ b/anvilshift/gateway/peers.py
@@ -1,7 +1,7 @@
-"""Tell the other routers what this one does, and hear them.
+"""Exchange heartbeats and the state of runs with the other routers.
 
-Datagrams carry heartbeats and the course of runs: a millisecond matters more
-than a lost message, and a stream would hold all of them back behind one.
+Messages are sent as datagrams.  A delay of a millisecond costs more than a lost
+message, and in a stream one lost message would delay all that follow.
 """
 
 import asyncio
@@ -14,49 +14,52 @@
 from anvilshift.gateway.messages import Beat, Message, decode, encode, pack
 
 BEAT: Millis = 150.0
-"""Between two heartbeats in a small fleet: a lost router is out of the address answers
-after four of them, and at five routers they cost 27 datagrams a second each."""
-_LONGEST_BEAT: Millis = 600.0
+"""Heartbeat interval in a small fleet.  A lost router disappears from the address
+answers after four intervals, and with five routers heartbeats cost each router 27
+datagrams a second."""
+_MAX_BEAT: Millis = 600.0
 SMALL_FLEET = 8
-"""Routers that tell one another everything.  In a larger fleet heartbeats are rarer,
-and what happens at targets is told only where it matters; with 32 routers each would
-otherwise read 800 datagrams a second."""
+"""Largest fleet in which every router sends every message to all others.  In a larger
+fleet heartbeats are less frequent, and events at targets are sent only to the routers
+that need them; with 32 routers each would otherwise read 800 datagrams a second."""
 SILENT_BEATS = 4.3
-"""Heartbeats after which a router that was not heard counts as lost.  A caller gives a
-new connection to a frozen one a second; of three heartbeats in a row one in 40,000 is
-lost where links lose three packets in a hundred."""
-_KNOWN_EVERY = 10
-"""In a larger fleet every tenth heartbeat names the other routers."""
-_FAR_EVERY = 2
-"""In a larger fleet every second heartbeat goes to other failure domains as well."""
-_SILENCE_LARGE = 1.1
-"""Times as long in a larger fleet, where far routers' heartbeats come half as often."""
-_FLUSH: Millis = 1.0
-"""How long messages are gathered into one datagram; placement elsewhere is that
-much behind, and a burst costs one system call instead of many."""
-_FLUSH_LARGE: Millis = 40.0
-"""The same in a larger fleet, where an engine gets a request from another router every
-200 ms, and a router whose callers send 150 requests a second would fill its link of
-24 Mbit/s with single datagrams to all."""
-_FLUSH_LAZY: Millis = 250.0
-"""How long the end of a run waits in a larger fleet for other messages to go with."""
-_EVERYONE: frozenset[str] = frozenset()
+"""Heartbeat intervals without a message after which a router counts as lost.  A caller
+gives a new connection to a frozen router one second.  With 3 % packet loss, three
+consecutive heartbeats are lost in one of 40,000 cases."""
+_KNOWN_INTERVAL = 10
+"""In a larger fleet every tenth heartbeat lists the addresses of other routers."""
+_FAR_INTERVAL = 2
+"""In a larger fleet every second heartbeat is also sent to other failure domains."""
+_TIMEOUT_FACTOR_LARGE = 1.1
+"""Factor on the time until a router counts as lost in a larger fleet, where heartbeats
+from other failure domains arrive half as often."""
+_FLUSH_DELAY: Millis = 1.0
+"""How long messages are collected for one datagram.  Placement at other routers lags
+by that much, and a burst costs one system call instead of many."""
+_FLUSH_DELAY_LARGE: Millis = 40.0
+"""The same in a larger fleet.  There an engine gets a request from another router every
+200 ms, and a router with 150 requests a second would fill its link of 24 Mbit/s if it
+sent a datagram for each of them to all others."""
+_FLUSH_DELAY_IDLE: Millis = 250.0
+"""How long messages that aren't urgent, such as the end of a run, wait in a larger
+fleet for other messages to share a datagram with."""
+_ALL_DOMAINS: frozenset[str] = frozenset()
 
 
 def find_beat(routers: int) -> Millis:
-    """Return the time between two heartbeats of one router.
+    """Return the heartbeat interval of a router in a fleet of some size.
 
     Examples
     --------
     >>> find_beat(4), find_beat(16), find_beat(2_000)
     (150.0, 300.0, 600.0)
     """
-    return min(_LONGEST_BEAT, BEAT * max(1.0, routers / SMALL_FLEET))
+    return min(_MAX_BEAT, BEAT * max(1.0, routers / SMALL_FLEET))
 
 
 @dataclass
 class Peer:
-    """Another router as it was heard last."""
+    """The last heartbeat of another router, and when it was last heard."""
 
     beat: Beat
     heard: Millis
@@ -64,7 +67,19 @@
 
 @dataclass
 class Hooks:
-    """What is done with what other routers tell."""
+    """Callbacks for messages from other routers and changes among them.
+
+    Parameters
+    ----------
+    hear
+        Called with each message.
+    lose
+        Called with a router that is lost or replaced by a new incarnation.
+    make_beat
+        Returns the heartbeat to send; None while there is none to send.
+    greet
+        Called with the first heartbeat of each new incarnation.
+    """
 
     hear: Callable[[Message], None] = lambda message: None
     lose: Callable[[Peer], None] = lambda peer: None
@@ -74,16 +89,16 @@
 
 @dataclass
 class Peers(asyncio.DatagramProtocol):
-    """The other routers.
+    """Connection to the other routers, and which of them are present.
 
     Parameters
     ----------
     ip, port
-        Where this router listens; all routers listen on the same port.
+        Address and port of this router; all routers use the same port.
     domain
         This router's failure domain.
     addresses
-        Addresses of routers that may be there.
+        Addresses of routers that may exist.
     """
 
     ip: str
@@ -97,8 +112,8 @@
     _transport: asyncio.DatagramTransport | None = None
     _waiting: dict[frozenset[str], list[bytes]] = field(default_factory=dict)
     _timer: asyncio.TimerHandle | None = None
-    _names: dict[str, str] = field(default_factory=dict)
-    _beats: int = 0
+    _names_by_ip: dict[str, str] = field(default_factory=dict)
+    _beats_sent: int = 0
 
     async def start(self) -> None:
         """Open the socket."""
@@ -107,21 +122,21 @@
         await loop.create_datagram_endpoint(lambda: self, local_addr=local)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take in the socket."""
+        """Store the transport of the opened socket."""
         # asyncio's own datagram transport doesn't derive from its abstract class.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def error_received(self, exc: Exception) -> None:
-        """Pass over an error of an earlier datagram: its peer is down."""
+        """Ignore an error of an earlier datagram: its receiver is down."""
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take in what another router tells."""
+        """Decode a datagram and pass on its messages; malformed data is logged."""
         try:
             messages = decode(data)
         except ValueError as error:
             self.journal.write("peer_garbage", sender=addr[0], reason=str(error))
             return
-        known = self.routers.get(self._names.get(addr[0], ""))
+        known = self.routers.get(self._names_by_ip.get(addr[0], ""))
         if known is not None:
             known.heard = self.clock.now()
         for message in messages:
@@ -139,55 +154,56 @@
             )
             self.hooks.greet(beat)
             if known is None:
-                # One that starts in a large fleet would otherwise learn of most of
-                # the others seconds later.
+                # In a large fleet a router that starts would otherwise discover most
+                # of the others seconds later.
                 self._send_beat(self.hooks.make_beat(), {beat.ip})
         self.routers[beat.router] = Peer(beat, self.clock.now())
-        self._names[beat.ip] = beat.router
+        self._names_by_ip[beat.ip] = beat.router
         self.addresses.add(beat.ip)
         self.addresses.update(beat.known)
         self.addresses.discard(self.ip)
 
     def send(self, message: Message, ip: str) -> None:
-        """Send a message to one router at once."""
+        """Send a message to one router immediately."""
         self._send(encode(message), ip)
 
     def tell(self, message: Message) -> None:
-        """Send a message to every router that is there."""
-        self._gather(message, _EVERYONE)
+        """Send a message to every present router with the next datagram."""
+        self._enqueue(message, _ALL_DOMAINS)
 
     @property
     def small(self) -> bool:
-        """Tell whether the fleet is small enough to tell everybody everything."""
+        """Tell whether the fleet is small enough to send every message to all."""
         return len(self.routers) < SMALL_FLEET
 
     def tell_near(self, message: Message, domain: str, soon: bool = True) -> None:
-        """Send a message to the routers that send most work to one failure domain.
+        """Send a message to the routers that send most work to a failure domain.
 
-        These are those of the domain, and those of this router's.
+        These are the routers of that domain and of this router's own domain.
 
         Parameters
         ----------
         soon
-            Whether it can't wait for the next message to the same routers.
+            Whether the message is urgent; otherwise it may wait for the next
+            message to the same routers.
         """
-        self._gather(message, frozenset({domain, self.domain}), soon)
+        self._enqueue(message, frozenset({domain, self.domain}), soon)
 
     def tell_far(self, message: Message, domain: str) -> None:
-        """Send a message, in its time, to those that `tell_near` passes over."""
+        """Send a message that isn't urgent to the routers that `tell_near` omits."""
         domains = {peer.beat.failure_domain for peer in self.routers.values()}
         far = frozenset(domains - {domain, self.domain})
         if far:
-            self._gather(message, far, soon=False)
+            self._enqueue(message, far, soon=False)
 
-    def _gather(
+    def _enqueue(
         self, message: Message, domains: frozenset[str], soon: bool = True
     ) -> None:
         self._waiting.setdefault(domains, []).append(encode(message))
-        prompt = _FLUSH if self.small else _FLUSH_LARGE
-        span = prompt if soon else _FLUSH_LAZY
+        urgent_delay = _FLUSH_DELAY if self.small else _FLUSH_DELAY_LARGE
+        delay = urgent_delay if soon else _FLUSH_DELAY_IDLE
         loop = asyncio.get_running_loop()
-        due = loop.time() + span / SECOND
+        due = loop.time() + delay / SECOND
         if self._timer is None or due < self._timer.when():
             if self._timer is not None:
                 self._timer.cancel()
@@ -197,8 +213,8 @@
         self._timer = None
         waiting, self._waiting = self._waiting, {}
         present = [peer.beat for peer in self.list_present()]
-        for domains, lines in waiting.items():
-            datagrams = pack(lines)
+        for domains, encoded in waiting.items():
+            datagrams = pack(encoded)
             for beat in present:
                 if not domains or beat.failure_domain in domains:
                     for datagram in datagrams:
@@ -212,33 +228,33 @@
         except OSError as error:
             self.journal.write("peer_unsent", peer=ip, reason=str(error))
 
-    def _find_silence(self) -> Millis:
-        """Return the time after which a router that was not heard is lost."""
-        span = find_beat(len(self.addresses) + 1) * SILENT_BEATS
-        return span if self.small else span * _SILENCE_LARGE
+    def _find_timeout(self) -> Millis:
+        """Return the time without messages after which a router is lost."""
+        timeout = find_beat(len(self.addresses) + 1) * SILENT_BEATS
+        return timeout if self.small else timeout * _TIMEOUT_FACTOR_LARGE
 
     def list_present(self) -> list[Peer]:
-        """Return the routers that were heard lately."""
-        since = self.clock.now() - self._find_silence()
+        """Return the routers that were heard recently enough to be present."""
+        since = self.clock.now() - self._find_timeout()
         return [peer for peer in self.routers.values() if peer.heard >= since]
 
     def beat(self) -> None:
-        """Send a heartbeat now, and look who has fallen silent."""
+        """Send a heartbeat now, and remove the routers that are lost."""
         beat = self.hooks.make_beat()
-        self._beats += 1
+        self._beats_sent += 1
         addresses = self.addresses
         if beat is not None and len(addresses) >= SMALL_FLEET:
-            if self._beats % _KNOWN_EVERY != 1:
+            if self._beats_sent % _KNOWN_INTERVAL != 1:
                 beat = replace(beat, known=())
-            if self._beats % _FAR_EVERY != 1:
+            if self._beats_sent % _FAR_INTERVAL != 1:
                 addresses = addresses - self._list_far()
         self._send_beat(beat, addresses)
-        now, silence = self.clock.now(), self._find_silence()
+        now, timeout = self.clock.now(), self._find_timeout()
         for name, peer in list(self.routers.items()):
-            if now - peer.heard > silence:
+            if now - peer.heard > timeout:
                 self.journal.write("peer_lost", peer=name, age=now - peer.heard)
                 del self.routers[name]
-                self._names.pop(peer.beat.ip, None)
+                self._names_by_ip.pop(peer.beat.ip, None)
                 self.hooks.lose(peer)
 
     def _list_far(self) -> set[str]:
@@ -253,7 +269,7 @@
                 self._send(datagram, ip)
 
     async def run(self) -> None:
-        """Send heartbeats for ever."""
+        """Send heartbeats until cancelled."""
         while True:
             self.beat()
             await asyncio.sleep(find_beat(len(self.routers) + 1) / SECOND)
--- a/anvilshift/gateway/permits.py
+++ b/anvilshift/gateway/permits.py
@@ -1,6 +1,6 @@
-"""Ask for permits to send to targets that have named limits, and issue them.
+"""Request and issue permits to send to targets that have announced rate limits.
 
-A request to such a target needs a permit of the one router that issues them for it.
+A request to such a target needs a permit from the router that is the target's issuer.
 """
 
 import asyncio
@@ -15,17 +15,21 @@
 from anvilshift.gateway.messages import PermitAnswer, PermitAsk, PermitDropped
 from anvilshift.gateway.peers import Peers
 
-_FIRST_TRY: Millis = 40.0
-"""Some ten times what a question to another router takes."""
-_TRIES = 3
-"""Questions after which a router that answers none is given up for a while."""
-_UNHEARD: Millis = 200.0
-_RENEWAL: Millis = 150.0
-_SILENCE: Millis = 4 * _RENEWAL
-"""A bid that was not renewed for so long has no router any more."""
-_LOOK_AGAIN: Millis = 500.0
-"""How long a request waits in a line before other targets are weighed again."""
-_REPORT: Millis = 1 * SECOND
+_RETRY_PAUSE: Millis = 40.0
+"""Pause before an unanswered ask is repeated, about ten times the round trip to another
+router."""
+_MAX_TRIES = 3
+"""Unanswered asks after which the request stops waiting for the issuer."""
+_UNANSWERED_WAIT: Millis = 200.0
+"""Assumed wait for a permit when the issuer doesn't answer."""
+_RENEWAL_INTERVAL: Millis = 150.0
+"""Interval at which a queued request repeats its ask."""
+_BID_TIMEOUT: Millis = 4 * _RENEWAL_INTERVAL
+"""The router of a bid that wasn't renewed for this long counts as lost."""
+_MAX_PERMIT_WAIT: Millis = 500.0
+"""How long a request waits for one permit before other targets are considered again."""
+_REPORT_INTERVAL: Millis = 1 * SECOND
+"""Interval of the log lines on the use of limits."""
 
 
 @dataclass(frozen=True)
@@ -35,9 +39,9 @@
     Parameters
     ----------
     run
-        Names the attempt among all routers'.
+        Identifies the attempt among those of all routers.
     latest
-        A permit that comes later is of no use.
+        Instant after which a permit can't be used any more.
     """
 
     run: str
@@ -49,15 +53,16 @@
 
 
 @dataclass
-class _Question:
-    """A request that waits for its permit here.
+class _PendingAsk:
+    """A request of this router that waits for its permit.
 
     Parameters
     ----------
     first
-        Whether it is told at once that it must wait, and can go elsewhere.
+        Whether the request is told at once that it must wait, so that it can use
+        another target.
     asked
-        When the issuer was asked last.
+        When the issuer was last asked.
     """
 
     request: Request
@@ -65,23 +70,23 @@
     first: bool
     asked: Millis
     verdict: Verdict | None = None
-    settled: asyncio.Event = field(default_factory=asyncio.Event)
+    answered_event: asyncio.Event = field(default_factory=asyncio.Event)
 
     def take(self, verdict: Verdict) -> None:
-        """Take in what the issuer says."""
+        """Store the issuer's answer, and end the wait if it is decisive."""
         self.verdict = verdict
         if self.first or verdict.state is not State.QUEUED:
-            self.settled.set()
+            self.answered_event.set()
 
 
 @dataclass
 class Permits:
-    """One router's part in keeping to limits.
+    """Permits at one router: asks for its own requests, and issues for targets.
 
     Parameters
     ----------
     ip
-        Where this router hears the others.
+        Address at which this router receives messages.
     """
 
     book: LimitBook
@@ -92,15 +97,15 @@
     journal: Journal
     _desks: dict[str, PermitDesk] = field(default_factory=dict)
     _askers: dict[str, str] = field(default_factory=dict)
-    _questions: dict[str, _Question] = field(default_factory=dict)
+    _pending: dict[str, _PendingAsk] = field(default_factory=dict)
     _timers: dict[str, asyncio.TimerHandle] = field(default_factory=dict)
-    _reported: Millis = 0.0
+    _reported_at: Millis = 0.0
 
     def __post_init__(self) -> None:
         self.book.hooks = LimitHooks(self._serve, self._close_desk)
 
     def note_lapse(self) -> None:
-        """Issue nothing for a while after this process stood still."""
+        """Issue no permits for a while after this process was suspended."""
         opens = self.clock.now() + TAKEOVER
         for desk in self._desks.values():
             desk.opens = opens
@@ -117,52 +122,52 @@
         Parameters
         ----------
         first
-            Whether the request asks for it the first time; then it is told at once
-            that it must wait, and can go elsewhere.
+            Whether this is the first ask for the request; then it is told at once
+            that it must wait, so that it can use another target.
         """
-        question = _Question(request, target.info.name, first, self.clock.now())
-        self._questions[request.run] = question
+        pending = _PendingAsk(request, target.info.name, first, self.clock.now())
+        self._pending[request.run] = pending
         try:
-            verdict = await self._wait(question)
+            verdict = await self._wait(pending)
         finally:
-            del self._questions[request.run]
+            del self._pending[request.run]
         if first and verdict.state is not State.GRANTED:
             self.journal.write(
                 "permit_held_back",
                 id=request.identity,
-                target=question.target,
+                target=pending.target,
                 state=verdict.state.value,
                 wait=round(verdict.wait, 1),
-                issuer=self.book.find_issuer(question.target),
+                issuer=self.book.find_issuer(pending.target),
             )
         return verdict
 
-    async def _wait(self, question: _Question) -> Verdict:
-        """Ask again and again, as any datagram may be lost."""
-        until = self.clock.now() + _LOOK_AGAIN
+    async def _wait(self, pending: _PendingAsk) -> Verdict:
+        """Repeat the ask until it is answered, because any datagram may be lost."""
+        until = self.clock.now() + _MAX_PERMIT_WAIT
         tries = 0
         while self.clock.now() < until:
-            self._put(question)
-            pause = _RENEWAL if question.verdict else _FIRST_TRY
+            self._send_ask(pending)
+            pause = _RENEWAL_INTERVAL if pending.verdict else _RETRY_PAUSE
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause / SECOND):
-                    await question.settled.wait()
-            verdict = question.verdict
-            if verdict is not None and question.settled.is_set():
+                    await pending.answered_event.wait()
+            verdict = pending.verdict
+            if verdict is not None and pending.answered_event.is_set():
                 return verdict
             tries += 1
-            if verdict is None and tries >= _TRIES:
-                return self._note_unheard(question)
-        return question.verdict or self._note_unheard(question)
-
-    def _put(self, question: _Question) -> None:
-        """Put a question to the issuer."""
-        now, request = self.clock.now(), question.request
-        question.asked = now
-        issuer = self.book.find_issuer(question.target)
+            if verdict is None and tries >= _MAX_TRIES:
+                return self._report_unanswered(pending)
+        return pending.verdict or self._report_unanswered(pending)
+
+    def _send_ask(self, pending: _PendingAsk) -> None:
+        """Send an ask to the issuer, or decide it here if this router is the issuer."""
+        now, request = self.clock.now(), pending.request
+        pending.asked = now
+        issuer = self.book.find_issuer(pending.target)
         ask = PermitAsk(
             request.run,
-            question.target,
+            pending.target,
             self.ip,
             request.organisation,
             request.rank,
@@ -170,23 +175,23 @@
             max(0.0, request.latest - now),
         )
         if issuer == self.book.own:
-            self._judge(ask)
+            self._decide(ask)
             return
-        ip, target = self.book.find_ip(issuer), self.loads.targets.get(question.target)
+        ip, target = self.book.find_ip(issuer), self.loads.targets.get(pending.target)
         if ip is None or target is None:
             return
-        if target.limit is not None and question.verdict is None:
-            # An issuer that missed the naming would grant whatever is asked.
+        if target.limit is not None and pending.verdict is None:
+            # An issuer that doesn't know the limit would grant every ask.
             self.peers.send(self.book.describe(target, target.limit), ip)
         self.peers.send(ask, ip)
 
-    def _note_unheard(self, question: _Question) -> Verdict:
-        issuer = self.book.find_issuer(question.target)
-        self.journal.write("issuer_unheard", target=question.target, issuer=issuer)
-        return Verdict(question.request.run, State.QUEUED, _UNHEARD)
+    def _report_unanswered(self, pending: _PendingAsk) -> Verdict:
+        issuer = self.book.find_issuer(pending.target)
+        self.journal.write("issuer_unheard", target=pending.target, issuer=issuer)
+        return Verdict(pending.request.run, State.QUEUED, _UNANSWERED_WAIT)
 
     def withdraw(self, run: str, name: str) -> None:
-        """Take in that a request waits no longer for a permit."""
+        """Withdraw the ask of a request that no longer waits for a permit."""
         issuer = self.book.find_issuer(name)
         ip = self.book.find_ip(issuer)
         if issuer == self.book.own:
@@ -195,32 +200,32 @@
             self.peers.send(PermitDropped(run, name), ip)
 
     def hear_answer(self, answer: PermitAnswer) -> None:
-        """Take in what the issuer says."""
-        question = self._questions.get(answer.run)
-        if question is None:
+        """Pass the issuer's answer to the request that waits for it."""
+        pending = self._pending.get(answer.run)
+        if pending is None:
             return
-        if self.clock.now() - question.asked > 2 * _RENEWAL:
-            # This process stood still: the permit was for a time that has gone by.
+        if self.clock.now() - pending.asked > 2 * _RENEWAL_INTERVAL:
+            # This process was suspended, and the permit was for an earlier time.
             return
-        question.take(Verdict(answer.run, State(answer.state), answer.wait))
+        pending.take(Verdict(answer.run, State(answer.state), answer.wait))
 
     # Requests of all routers, at the issuer
 
     def hear_ask(self, ask: PermitAsk) -> None:
-        """Answer another router's question."""
+        """Answer another router's ask."""
         if self.book.find_issuer(ask.target) != self.book.own:
             return
         self._askers[ask.run] = ask.ip
-        self._judge(ask)
+        self._decide(ask)
 
     def hear_dropped(self, message: PermitDropped) -> None:
-        """Take in that a request waits no longer."""
+        """Remove the bid of a request that no longer waits."""
         desk = self._desks.get(message.target)
         if desk is not None:
             desk.withdraw(message.run)
         self._askers.pop(message.run, None)
 
-    def _judge(self, ask: PermitAsk) -> None:
+    def _decide(self, ask: PermitAsk) -> None:
         target = self.loads.targets.get(ask.target)
         if target is None:
             return
@@ -246,7 +251,7 @@
         return desk
 
     def _answer(self, verdict: Verdict) -> None:
-        """Hand a verdict to the request that it is for, here or elsewhere."""
+        """Send a verdict to its request, at this or another router."""
         queued = verdict.state is State.QUEUED
         find = self._askers.get if queued else self._askers.pop
         ip = find(verdict.run, None)
@@ -254,17 +259,17 @@
             answer = PermitAnswer(verdict.run, verdict.state.value, verdict.wait)
             self.peers.send(answer, ip)
             return
-        question = self._questions.get(verdict.run)
-        if question is not None:
-            question.take(verdict)
+        pending = self._pending.get(verdict.run)
+        if pending is not None:
+            pending.take(verdict)
 
     def _serve(self, name: str) -> None:
-        """Issue what can be issued now."""
+        """Issue the permits that are due."""
         desk, target = self._desks.get(name), self.loads.targets.get(name)
         if desk is None or target is None:
             return
         rate, now = self.book.find_rate(target), self.clock.now()
-        for verdict in desk.serve(rate, now, _SILENCE):
+        for verdict in desk.serve(rate, now, _BID_TIMEOUT):
             self._answer(verdict)
         self._set_timer(name)
 
@@ -284,22 +289,22 @@
         delay = (due - now) / SECOND
         self._timers[name] = loop.call_later(delay, self._serve, name)
 
-    # Time
+    # Periodic work
 
     def sweep(self, now: Millis) -> None:
-        """Forget what is over, and report on limits once a second."""
+        """Remove expired limits and unused state; log the use of limits each second."""
         self.book.end_over(now)
         for name in list(self._desks):
             target = self.loads.targets.get(name)
             if target is None or target.limit is None:
                 self._close_desk(name)
-        if now - self._reported >= _REPORT:
-            self._reported = now
-            self._forget_askers()
+        if now - self._reported_at >= _REPORT_INTERVAL:
+            self._reported_at = now
+            self._remove_askers()
             self._report(now)
 
-    def _forget_askers(self) -> None:
-        """Forget who asked for what waits no longer."""
+    def _remove_askers(self) -> None:
+        """Forget the addresses of asks that are no longer queued."""
         for run in list(self._askers):
             if not any(run in desk for desk in self._desks.values()):
                 del self._askers[run]
--- a/anvilshift/gateway/recording.py
+++ b/anvilshift/gateway/recording.py
@@ -1,8 +1,8 @@
-"""Write down several times a second what this router has spent.
+"""Record several times a second what this router has spent.
 
-One object a host; only that host writes it.  Whoever starts there after a crash or
-a loss of power reads it, proves by the store's history how old it can be, and so
-how much of its former process' tokens may have been spent.
+Each host has one object, which only that host writes.  A router that starts there
+after a crash or a power failure reads the record, uses the store's history to bound
+its age, and from that bounds how many tokens the former process may have spent.
 """
 
 import asyncio
@@ -23,59 +23,63 @@
 
 KIND = "anvilshift-uses"
 _PERIOD: Millis = 400.0
-"""Between two records.  A shorter one bounds what a killed router spent more closely;
-each is a priced write, and four routers write ten of the store's 400 a second."""
-_HURRY = 4
-"""Records in a period at the most, while requests wait to spend: a burst of them is
-recorded together."""
-_A_ROUTER: Millis = 8.0
-"""The period is at least this for each router of the fleet: together they write at most
-125 times a second, a third of the smallest store's 400."""
-_PAUSE: Millis = 250.0
-"""After a failed write."""
-_SLOW: Millis = 150.0
-"""A write that takes longer is not waited for by requests: the store answers within
-some milliseconds, or is out of reach."""
-_PROVABLE = 0.75
-"""Of the time after which all may be spent, what a bound may take to be of use: by then
-nearly half of what a router may spend beyond its record is still out of reach."""
-_STEP, _STEP_PART = 100.0, 0.08
-"""Milliseconds between the bounds that a record offers, and the part of a bound that
-the next one is longer at least: the pace unlocks by the square of a bound."""
-_BOOT = pathlib.Path("/proc/sys/kernel/random/boot_id")
-_LOOK: Millis = 1.0
-"""How long a look at the history waits for changes: it needs none."""
+"""Time between two records.  A shorter period gives a closer bound on what a killed
+router spent, but each record is a priced write: four routers use ten of the store's
+400 writes a second."""
+_MAX_RECORDS = 4
+"""Maximum number of records in a period while requests wait to spend.  The requests
+of a burst share a record."""
+_PERIOD_PER_ROUTER: Millis = 8.0
+"""Minimum period for each router of the fleet.  Together the routers write at most 125
+times a second, a third of the smallest store's 400."""
+_RETRY_PAUSE: Millis = 250.0
+"""Pause after a failed write."""
+_ANSWER_TIMEOUT: Millis = 150.0
+"""Requests don't wait for a write that takes longer than this: the store answers
+within a few milliseconds or is unreachable."""
+_MAX_BOUND_FRACTION = 0.75
+"""Longest useful bound on a record's age, as a fraction of the time after which a
+router may spend everything.  At that age nearly half of what a router may spend beyond
+its record is still locked."""
+_MIN_STEP, _MIN_STEP_FRACTION = 100.0, 0.08
+"""Minimum distance of the bounds in a record: in milliseconds, and as a fraction of the
+shorter bound.  The tokens that may be spent grow with the square of the bound."""
+_BOOT_ID_PATH = pathlib.Path("/proc/sys/kernel/random/boot_id")
+_HISTORY_CHECK_WAIT: Millis = 1.0
+"""Duration of a watch that only checks whether the history reaches back to a revision;
+it needs no changes."""
 
 
 def read_boot() -> str:
-    """Return what names the host's start; one that can't tell names none."""
+    """Return the boot id of the host; empty where the kernel offers none."""
     try:
-        return _BOOT.read_text().strip()
+        return _BOOT_ID_PATH.read_text().strip()
     except OSError:
         return ""
 
 
 @dataclass
 class Recorder:
-    """Record this router's use, and settle that of its host's former process.
+    """Record this router's use and settle that of the former process on its host.
 
     Parameters
     ----------
     node, ip
-        Name and address of the host, the same after a restart.
+        Name and address of the host, which a restart doesn't change.
     holder
         Name of this incarnation.
     routers
-        How many routers write such records.
+        Number of routers that write such records.
     boot
-        What names the host's start; empty where that can't be told.
+        Boot id of the host; empty where the kernel offers none.
     tell_mark
-        Tells the other routers a mark, for one that will keep tokens after this.
+        Sends a mark to the other routers, for the next keeper of the tokens.
     records
-        Writes that have ended, well or not; after each `end_record` is called.
+        Number of completed writes, successful or failed; `end_record` is called
+        after each.
     born
-        When this process had begun to run, by the clock: the former one had ended
-        by then, however long this one took to look.
+        Instant at which this process was already running, by the clock.  The
+        former process had ended by then, however late its record is read.
     """
 
     store: ObjectStore
@@ -94,29 +98,35 @@
     records: int = 0
     end_record: Callable[[], None] = lambda: None
     _version: int = 0
-    _asked: Millis | None = None
+    _write_begun_at: Millis | None = None
     _unanswered: UseRecord | None = None
     failing: bool = False
     _wake: asyncio.Event = field(default_factory=asyncio.Event)
 
     def hurry(self) -> None:
-        """Record soon: a request waits to spend."""
+        """Trigger a record, because a request waits to spend."""
         self._wake.set()
 
     def is_answered(self) -> bool:
-        """Tell whether the store answers records, as far as is known."""
-        waited = 0.0 if self._asked is None else self.clock.now() - self._asked
-        return not self.failing and waited < _SLOW
+        """Tell whether the last write succeeded and the pending one isn't overdue."""
+        waited = (
+            0.0
+            if self._write_begun_at is None
+            else self.clock.now() - self._write_begun_at
+        )
+        return not self.failing and waited < _ANSWER_TIMEOUT
 
     def _find_period(self) -> Millis:
-        return max(_PERIOD, self.routers * _A_ROUTER)
+        return max(_PERIOD, self.routers * _PERIOD_PER_ROUTER)
 
     def is_provable(self) -> bool:
-        """Tell whether a successor could prove how old the newest record is."""
-        return bool(self.marks.list_spans(self.clock.now(), SPREAD_OVER * _PROVABLE))
+        """Tell whether a successor could prove a useful bound on the record's age."""
+        return bool(
+            self.marks.list_spans(self.clock.now(), SPREAD_OVER * _MAX_BOUND_FRACTION)
+        )
 
     async def run(self) -> None:
-        """Record for ever."""
+        """Write records until cancelled."""
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(self._find_period() / SECOND):
@@ -124,15 +134,15 @@
             self._wake.clear()
             if not self.wallet.keeps_any() and self._unanswered is None:
                 continue
-            pause = self._find_period() / _HURRY
-            self._asked = self.clock.now()
+            pause = self._find_period() / _MAX_RECORDS
+            self._write_begun_at = self.clock.now()
             try:
                 await self._write()
             except AnvilshiftError as error:
                 self._note_failure(error)
                 self.hurry()
-                pause = _PAUSE
-            self._asked = None
+                pause = _RETRY_PAUSE
+            self._write_begun_at = None
             self.records += 1
             self.end_record()
             await asyncio.sleep(pause / SECOND)
@@ -153,7 +163,7 @@
         now = self.clock.now()
         self.marks.expire(now)
         listed = self.marks.list_spans(now, self.marks.history + SLACK)
-        spans = thin(listed, _STEP, _STEP_PART)
+        spans = thin(listed, _MIN_STEP, _MIN_STEP_FRACTION)
         return UseRecord(
             self.holder,
             self.ip,
@@ -165,11 +175,11 @@
         )
 
     async def _write(self) -> None:
-        # A write without an answer may take effect later.  Sent again as it is, it
-        # is one more record at the most that this router has to keep to.
-        again = self._unanswered
-        record = again or self._make_record()
-        if again is None:
+        # An unanswered write may take effect later.  Sending the same record again
+        # means that this router has to respect at most one additional record.
+        resent = self._unanswered
+        record = resent or self._make_record()
+        if resent is None:
             self.wallet.pace(record)
         self._unanswered = record
         try:
@@ -185,34 +195,35 @@
         self._unanswered = None
         self._version = stored.version
         self.wallet.settle_pace(record)
-        if again is not None:
-            # It tells of the time before an outage, which nothing bounds any more.
+        if resent is not None:
+            # The record dates from before an outage; no bound on its age can be
+            # proved any more.
             self.hurry()
-        # The write's own change is the one that follows on the revision before it.
-        # Counted from the write before, the change that follows may be another
-        # router's, up to a period older: the bound would be longer by as much.
+        # This write is the change that follows the revision before its own.  After
+        # the revision of the previous write, the next change may be another
+        # router's and up to a period older, which would make the bound longer.
         mark = Mark(self.clock.now(), stored.version - 1)
         self.marks.add(mark)
         self.tell_mark(mark)
 
-    # The former process of this host
+    # The former process on this host
 
     async def settle_former(self) -> tuple[str, dict[str, Spent]] | None:
-        """Return what the host's former process spent, as far as it is proved.
+        """Return proved bounds on what the former process on this host spent.
 
-        It has ended, for this one runs in its place; a process elsewhere that goes
-        by the same name has another address.
+        That process has ended, because this one runs in its place.  A process of
+        the same name on another host has another address.
 
         Returns
         -------
         tuple
-            The former incarnation, and what it spent by organisation; None when
-            nothing is proved.
+            The former incarnation, and bounds on its spending by organisation;
+            None when nothing can be proved.
 
         Raises
         ------
         AnvilshiftError
-            When the store is out of reach.
+            When the store is unreachable.
         """
         found = await self.store.get(KIND, self.node)
         if found is None:
@@ -226,7 +237,7 @@
         if record.ip != self.ip or record.holder == self.holder:
             return None
         elapsed = await self._bound_elapsed(record)
-        self.marks.recover(record.spans, self._find_birth())
+        self.marks.recover(record.spans, self._find_start())
         self.journal.write(
             "use_settled",
             holder=record.holder,
@@ -236,28 +247,32 @@
         )
         return None if elapsed is None else (record.holder, record.bound(elapsed))
 
-    def _find_birth(self) -> Millis:
-        """Return an instant by which the former process had ended."""
+    def _find_start(self) -> Millis:
+        """Return an instant at which the former process had already ended."""
         return self.clock.now() if self.born is None else self.born
 
     async def _bound_elapsed(self, record: UseRecord) -> Millis | None:
-        """Return a bound on the time from a record to its process' end.
+        """Return an upper bound on the time from a record to its process' end.
 
-        None when nothing bounds it.
+        None when no bound can be proved.  The clock gives one within the same boot;
+        otherwise a binary search finds the shortest bound whose revision is
+        still in the store's history.
         """
-        now, born = self.clock.now(), self._find_birth()
+        now, born = self.clock.now(), self._find_start()
         elapsed = record.read_clock(self.boot, now, self.read_wall())
         if elapsed is not None:
             return max(0.0, elapsed - (now - born))
-        low, high, looked = 0, len(record.spans), now
+        low, high, checked_at = 0, len(record.spans), now
         while low < high:
             middle = (low + high) // 2
             asked = self.clock.now()
-            found = await self.store.watch([KIND], record.spans[middle][1], _LOOK)
+            found = await self.store.watch(
+                [KIND], record.spans[middle][1], _HISTORY_CHECK_WAIT
+            )
             if found.too_old:
                 low = middle + 1
             else:
-                high, looked = middle, asked
+                high, checked_at = middle, asked
         if low == len(record.spans):
             return None
-        return max(0.0, record.spans[low][0] - (looked - born))
+        return max(0.0, record.spans[low][0] - (checked_at - born))
--- a/anvilshift/gateway/reserving.py
+++ b/anvilshift/gateway/reserving.py
@@ -1,4 +1,7 @@
-"""Set tokens aside for requests: from this router's, a keeper's or the store's."""
+"""Reserve tokens for requests from this router, from a keeper or from the store.
+
+A keeper is a router that holds tokens of an organisation for all routers.
+"""
 
 import asyncio
 import contextlib
@@ -19,26 +22,27 @@
 from anvilshift.gateway.messages import Ask, Gift, Lack
 from anvilshift.gateway.recording import Recorder
 
-_ROUND: Millis = 40.0
-"""How long a gift and a write of the store are waited for before a look at both."""
-_LEAST_ROUND: Millis = 1.0
-"""A timer's resolution: the last bit of a wait would be spent in a busy loop."""
-_WAIT: Millis = 2.5 * SECOND
-"""How long a request waits at the most, for tokens that it will have by then: one that
-is refused comes back later than that."""
-_LEND_WAIT: Millis = 250.0
-"""How long another router's request waits here; then it may ask the other keeper."""
-_RETRY: Millis = 4 * SECOND
-"""A store that is out of reach comes back, or a total is topped up, after some
-seconds; a caller that comes back sooner is refused again."""
-_RETRY_AT_START: Millis = 300.0
-"""The same just after a start: the shares of routers that were killed together are
-ended one by one, within a second."""
+_MAX_STEP_WAIT: Millis = 40.0
+"""Maximum wait for a gift or a write to the store before the search continues."""
+_MIN_WAIT: Millis = 1.0
+"""Minimum wait, the resolution of a timer.  Shorter waits would end in a busy loop."""
+_MAX_WAIT: Millis = 2.5 * SECOND
+"""Maximum time that a request waits for tokens.  A refused request returns later than
+that, so waiting is faster for the caller."""
+_MAX_LEND_WAIT: Millis = 250.0
+"""Maximum time that another router's request waits here.  After that the router may
+ask the other keeper."""
+_RETRY_DELAY: Millis = 4 * SECOND
+"""Default retry delay for callers.  A store becomes reachable again, or a total is
+topped up, within seconds; a caller that retries sooner is refused again."""
+_RETRY_DELAY_AT_START: Millis = 300.0
+"""Retry delay just after a start.  The shares of routers that were killed together are
+ended one by one within a second."""
 _REMEMBER: Millis = 500.0
-"""How long a refusal of an organisation's request holds for others as large:
-without it each of a burst of them would cost writes and wait in vain."""
-_REMEMBERED = 512
-"""Answers to asks that are kept, for an ask that comes twice."""
+"""How long a refusal applies to other requests of the organisation that are as large.
+Otherwise each request of a burst would cost writes and wait without result."""
+_MAX_KEPT_ANSWERS = 512
+"""Number of answers kept for asks that arrive twice."""
 
 
 @dataclass(frozen=True)
@@ -50,14 +54,15 @@
 
 
 class Reservations:
-    """Set tokens aside for this router's requests and for other routers'.
+    """Reserve tokens for the requests of this router and of other routers.
 
     Parameters
     ----------
     ask
-        Sends an ask to the router of a name; tells whether it is there.
+        Sends an ask to a router, given by its name; returns whether that router
+        is reachable.
     recorder
-        Records this router's use; None where that isn't done.
+        Records this router's use; None where use isn't recorded.
     """
 
     def __init__(
@@ -76,164 +81,162 @@
         self.journal = journal
         self.ask = ask
         self.recorder = recorder
-        self._asks = 0
-        self._hunts: dict[int, TokenHunt] = {}
+        self._last_ask = 0
+        self._searches: dict[int, TokenHunt] = {}
         self._refusals: dict[str, _Refusal] = {}
-        self._lent: dict[tuple[str, int], Gift | Lack | None] = {}
-        self._gifts = 0
+        self._answers: dict[tuple[str, int], Gift | Lack | None] = {}
+        self._last_gift = 0
         self._received: dict[str, Numbers] = {}
 
     def forget_refusals(self) -> None:
-        """Take in that totals may have grown."""
+        """Forget remembered refusals, because totals may have grown."""
         self._refusals.clear()
 
     def settle(self, name: str, key: str, tokens: int) -> None:
-        """Count what a request used; 0 when it did not run."""
+        """Replace a request's reservation by what it used; 0 when it did not run."""
         self.wallet.settle(name, key, tokens, self.clock.now())
 
     async def reserve(self, name: str, key: str, tokens: int, until: Millis) -> None:
-        """Set tokens aside for a request.
+        """Reserve tokens for a request.
 
         Raises
         ------
         AnvilshiftError
-            Code 2001 when the total certainly can't cover them, code 2002 when
-            more may be there but can't be drawn now.
+            Code 2001 when the total is known to be too small, code 2002 when
+            there may be enough tokens but they can't be drawn now.
         """
         now = self.clock.now()
         if not self.wallet.reserve(name, key, tokens, now):
-            hunt = self._begin_hunt(self.keepers.list_others(name))
-            await self._wait(name, key, tokens, min(until, now + _WAIT), hunt)
+            search = self._begin_search(self.keepers.list_others(name))
+            await self._wait(name, key, tokens, min(until, now + _MAX_WAIT), search)
 
-    def _begin_hunt(self, keepers: Sequence[str]) -> TokenHunt:
+    def _begin_search(self, keepers: Sequence[str]) -> TokenHunt:
         records = self.recorder.records if self.recorder else 0
         return TokenHunt(keepers, self.allotter.rounds, records)
 
     async def _wait(
-        self, name: str, key: str, tokens: int, until: Millis, hunt: TokenHunt
+        self, name: str, key: str, tokens: int, until: Millis, search: TokenHunt
     ) -> None:
         try:
-            self._check_remembered(name, key, tokens, until)
+            self._check_refusals(name, key, tokens, until)
             while not self.allotter.begun and self.clock.now() < until:
                 await self._wait_round(until)
-            while not await self._hunt(name, key, tokens, until, hunt):
-                hunt = self._begin_hunt(hunt.keepers)
+            while not await self._search(name, key, tokens, until, search):
+                search = self._begin_search(search.keepers)
         finally:
             self.wallet.give_up(name, key)
 
-    def _check_remembered(
-        self, name: str, key: str, tokens: int, until: Millis
-    ) -> None:
+    def _check_refusals(self, name: str, key: str, tokens: int, until: Millis) -> None:
         known, now = self._refusals.get(name), self.clock.now()
-        held = known is not None and now < known.until and tokens >= known.tokens
-        if known and held and not self._is_soon(name, key, until):
+        applies = known is not None and now < known.until and tokens >= known.tokens
+        if known and applies and not self._is_soon(name, key, until):
             certain = known.certain or self.allotter.is_exhausted(name, tokens)
             raise self._make_refusal(name, tokens, certain, known.wait)
 
-    async def _hunt(
-        self, name: str, key: str, tokens: int, until: Millis, hunt: TokenHunt
+    async def _search(
+        self, name: str, key: str, tokens: int, until: Millis, search: TokenHunt
     ) -> bool:
-        """Wait until tokens are set aside; False when a keeper is to be asked again.
+        """Wait until tokens are reserved; False when a new search has to begin.
 
         Raises
         ------
         AnvilshiftError
-            When they won't be there in time.
+            When the tokens won't be available in time.
         """
-        self._asks += 1
-        number = self._asks
-        self._hunts[number] = hunt
+        self._last_ask += 1
+        number = self._last_ask
+        self._searches[number] = search
         try:
             while (now := self.clock.now()) < until:
-                self._seek(name, tokens, number, now)
+                self._request_tokens(name, tokens, number, now)
                 await self._wait_round(until)
                 if self.wallet.reserve(name, key, tokens, self.clock.now()):
                     return True
                 if self._is_soon(name, key, until):
                     continue
-                if self._is_certain(name, tokens, hunt):
+                if self._is_certain(name, tokens, search):
                     break
-                if not self._is_hopeless(name, tokens, hunt):
+                if not self._has_failed(name, tokens, search):
                     continue
-                if not await self._wait_for_keeper(until, hunt):
+                if not await self._wait_for_keeper(until, search):
                     break
                 return False
         finally:
-            del self._hunts[number]
-        raise self._make_up_refusal(name, key, tokens, hunt)
+            del self._searches[number]
+        raise self._refuse(name, key, tokens, search)
 
-    async def _wait_for_keeper(self, until: Millis, hunt: TokenHunt) -> bool:
-        """Wait until a keeper may have the tokens; False when that is too late."""
-        wait = hunt.find_wait()
+    async def _wait_for_keeper(self, until: Millis, search: TokenHunt) -> bool:
+        """Wait until a keeper may have the tokens; False if the deadline is sooner."""
+        wait = search.find_wait()
         if wait is None and self.allotter.has_just_started():
-            # The keepers may have started with this router, and wait themselves.
-            wait = _RETRY_AT_START
+            # The keepers may have started with this router and may be waiting too.
+            wait = _RETRY_DELAY_AT_START
         if wait is None or self.clock.now() + wait >= until:
             return False
-        await asyncio.sleep(max(_LEAST_ROUND, wait) / SECOND)
+        await asyncio.sleep(max(_MIN_WAIT, wait) / SECOND)
         return True
 
-    def _seek(self, name: str, tokens: int, number: int, now: Millis) -> None:
-        """Do what may bring the tokens."""
-        hunt, purse = self._hunts[number], self.wallet.purses[name]
+    def _request_tokens(self, name: str, tokens: int, number: int, now: Millis) -> None:
+        """Trigger a record, an ask or a draw, whichever may provide the tokens."""
+        search, purse = self._searches[number], self.wallet.purses[name]
         if self.recorder and tokens <= purse.ready:
             self.recorder.hurry()
-        keeper = hunt.find_next(now)
+        keeper = search.find_next(now)
         lacking = max(1, tokens - max(0, purse.available(now)))
         if keeper is not None and not self.ask(keeper, number, name, lacking):
-            hunt.skip()
-        if hunt.is_unanswered(now):
+            search.skip()
+        if search.is_unanswered(now):
             self.wallet.note_unkept(name, now)
         self.allotter.wake()
 
-    def _is_hopeless(self, name: str, tokens: int, hunt: TokenHunt) -> bool:
-        """Tell whether no keeper, no record and no draw will bring the tokens."""
+    def _has_failed(self, name: str, tokens: int, search: TokenHunt) -> bool:
+        """Tell whether no keeper, no record and no draw can provide the tokens."""
         now, purse = self.clock.now(), self.wallet.purses[name]
-        if not hunt.is_over(now):
+        if not search.is_over(now):
             return False
         if self.allotter.has_just_started() and purse.draws(now):
             return False
-        if self._may_record(hunt) and tokens <= purse.ready:
+        if self._may_record(search) and tokens <= purse.ready:
             return False
         if not purse.draws(now):
             return True
         stale = self.allotter.failing or self.wallet.is_dry(name, now)
-        return stale or hunt.has_drawn(self.allotter.rounds)
+        return stale or search.has_drawn(self.allotter.rounds)
 
-    def _may_record(self, hunt: TokenHunt) -> bool:
-        """Tell whether a record may yet let this router spend what lies ready."""
+    def _may_record(self, search: TokenHunt) -> bool:
+        """Tell whether a further record may allow the ready tokens to be spent."""
         recorder = self.recorder
         if recorder is None or not recorder.is_answered():
             return False
-        return not hunt.is_recorded(recorder.records)
+        return not search.is_recorded(recorder.records)
 
     def _is_soon(self, name: str, key: str, until: Millis) -> bool:
-        """Tell whether what lies ready may be spent in time."""
+        """Tell whether enough of the ready tokens may be spent before the deadline."""
         now = self.clock.now()
         wait = self.wallet.find_wait(name, key, now)
         return wait is not None and now + wait < until
 
     async def _wait_round(self, until: Millis) -> None:
-        """Wait for a write of the store or a gift, for a moment."""
-        left = min(until - self.clock.now(), _ROUND, ANSWER_WITHIN)
+        """Wait briefly for a write to the store or a gift."""
+        left = min(until - self.clock.now(), _MAX_STEP_WAIT, ANSWER_WITHIN)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(max(_LEAST_ROUND, left) / SECOND):
+            async with asyncio.timeout(max(_MIN_WAIT, left) / SECOND):
                 await self.allotter.wait_round()
 
-    def _is_certain(self, name: str, tokens: int, hunt: TokenHunt) -> bool:
+    def _is_certain(self, name: str, tokens: int, search: TokenHunt) -> bool:
         if self.keepers.is_keeper(name):
             return self.allotter.is_exhausted(name, tokens)
-        return hunt.is_certain()
+        return search.is_certain()
 
-    def _make_up_refusal(
-        self, name: str, key: str, tokens: int, hunt: TokenHunt
+    def _refuse(
+        self, name: str, key: str, tokens: int, search: TokenHunt
     ) -> AnvilshiftError:
-        """Return the refusal of a request, and remember it for others as large."""
+        """Return the error for a request; remember it for others as large."""
         now = self.clock.now()
-        certain = self._is_certain(name, tokens, hunt)
-        waits = [self.wallet.find_wait(name, key, now), hunt.find_wait()]
+        certain = self._is_certain(name, tokens, search)
+        waits = [self.wallet.find_wait(name, key, now), search.find_wait()]
         if self.allotter.has_just_started():
-            waits.append(_RETRY_AT_START)
+            waits.append(_RETRY_DELAY_AT_START)
         known = [wait for wait in waits if wait is not None and wait > 0.0]
         wait = min(known, default=None)
         self._refusals[name] = _Refusal(tokens, now + _REMEMBER, certain, wait)
@@ -262,61 +265,61 @@
         )
         if certain:
             return AnvilshiftError(BUDGET_EXHAUSTED)
-        return AnvilshiftError(BUDGET_UNREACHABLE, retry_after=wait or _RETRY)
+        return AnvilshiftError(BUDGET_UNREACHABLE, retry_after=wait or _RETRY_DELAY)
 
     # Other routers' requests
 
     async def lend(self, ask: Ask) -> Gift | Lack | None:
-        """Return the answer to another router's ask; None while it is sought.
+        """Return the answer to another router's ask; None while the search is running.
 
-        An ask that comes twice is answered once: a gift for each copy would leave
-        tokens lying at the asker.
+        Copies of an ask get the same answer: a gift for each copy would leave
+        unused tokens at the asking router.
         """
         key = (ask.holder, ask.number)
-        if key in self._lent:
-            return self._lent[key]
-        self._lent[key] = None
-        if len(self._lent) > _REMEMBERED:
-            del self._lent[next(iter(self._lent))]
-        answer = await self._find_answer(ask)
-        self._lent[key] = answer
+        if key in self._answers:
+            return self._answers[key]
+        self._answers[key] = None
+        if len(self._answers) > _MAX_KEPT_ANSWERS:
+            del self._answers[next(iter(self._answers))]
+        answer = await self._answer(ask)
+        self._answers[key] = answer
         return answer
 
-    async def _find_answer(self, ask: Ask) -> Gift | Lack:
+    async def _answer(self, ask: Ask) -> Gift | Lack:
         name, key = ask.organisation, f"{ask.holder}#{ask.number}"
         if name not in self.wallet.purses:
-            return Lack(ask.holder, ask.number, name, False, _RETRY)
+            return Lack(ask.holder, ask.number, name, False, _RETRY_DELAY)
         now = self.clock.now()
         if not self.wallet.reserve(name, key, ask.tokens, now):
             if ask.keeping:
-                # It asks as a last resort, and draws for itself meanwhile.
+                # Another keeper asks as a last resort and draws for itself meanwhile.
                 self.wallet.give_up(name, key)
-                return Lack(ask.holder, ask.number, name, False, _RETRY)
-            # Whoever asks asks the other keeper itself.
-            hunt = self._begin_hunt(())
+                return Lack(ask.holder, ask.number, name, False, _RETRY_DELAY)
+            # The asking router asks the other keeper itself.
+            search = self._begin_search(())
             try:
-                await self._wait(name, key, ask.tokens, now + _LEND_WAIT, hunt)
+                await self._wait(name, key, ask.tokens, now + _MAX_LEND_WAIT, search)
             except AnvilshiftError as error:
                 certain = error.code is BUDGET_EXHAUSTED
-                wait = float(error.retry_after or _RETRY)
+                wait = float(error.retry_after or _RETRY_DELAY)
                 return Lack(ask.holder, ask.number, name, certain, wait)
         tokens = self.wallet.hand_over(name, key, self.clock.now())
         return self._make_gift(ask.holder, name, tokens)
 
     def _make_gift(self, holder: str, name: str, tokens: int) -> Gift:
-        self._gifts += 1
-        return Gift(self.allotter.holder, self._gifts, holder, name, tokens)
+        self._last_gift += 1
+        return Gift(self.allotter.holder, self._last_gift, holder, name, tokens)
 
     def return_idle(
         self, find_keeper: Callable[[str], tuple[str, str] | None]
     ) -> list[tuple[Gift, str]]:
-        """Return gifts of what lies idle here, and the addresses that get them.
+        """Return gifts of idle tokens, each with the address of its receiver.
 
         Parameters
         ----------
         find_keeper
-            Tells the incarnation and the address of a keeper of an organisation's
-            tokens.
+            Returns the incarnation and the address of a keeper of an
+            organisation's tokens; None if there is none.
         """
         gifts = []
         for name, tokens in self.wallet.find_idle(self.clock.now()).items():
@@ -327,17 +330,17 @@
         return gifts
 
     def take_gift(self, gift: Gift) -> None:
-        """Take in tokens that another router gave."""
+        """Add tokens that another router gave."""
         if gift.holder != self.allotter.holder:
             return
-        # A datagram may come twice; a gift that counted twice would overspend.
+        # A datagram may arrive twice; a gift counted twice would cause overspending.
         if self._received.setdefault(gift.giver, Numbers()).take(gift.number):
             self.wallet.receive(gift.organisation, gift.tokens)
             self.allotter.end_round()
 
     def take_lack(self, lack: Lack) -> None:
-        """Take in that a keeper can't give what was asked for."""
-        hunt = self._hunts.get(lack.number)
-        if hunt is not None and lack.holder == self.allotter.holder:
-            hunt.note(Answer(lack.certain, lack.wait))
+        """Record that a keeper can't provide what was asked for."""
+        search = self._searches.get(lack.number)
+        if search is not None and lack.holder == self.allotter.holder:
+            search.note(Answer(lack.certain, lack.wait))
             self.allotter.end_round()
--- a/anvilshift/gateway/shared.py
+++ b/anvilshift/gateway/shared.py
@@ -1,4 +1,4 @@
-"""What every request needs of its router."""
+"""State and services of a router that all its requests share."""
 
 import random
 from collections.abc import Callable
@@ -16,15 +16,30 @@
 from anvilshift.gateway.permits import Permits
 from anvilshift.gateway.reserving import Reservations
 
-_RETURN: Millis = 150.0
-"""When a caller that was refused by a stopping router may come to another one."""
-_PLAIN_WORK = 40.0
-"""Milliseconds of a plain request until some are measured."""
+_RETRY_DELAY: Millis = 150.0
+"""Retry delay for callers that a stopping router refuses; they reach another router."""
+_DEFAULT_WORK = 40.0
+"""Assumed milliseconds of a plain service's request until some are measured."""
 
 
 @dataclass
 class Shared:
-    """What every request needs of its router."""
+    """State and services of a router that all its requests share.
+
+    Parameters
+    ----------
+    domain
+        This router's failure domain.
+    note_lost, note_replaced
+        Called with the name of a target that is gone, and of one whose address
+        another target has taken over.
+    work
+        Measured times of plain services' requests, by service.
+    runs
+        Number of attempts named so far.
+    ending
+        Whether a planned stop will soon cut off streams.
+    """
 
     router: str
     clock: Clock
@@ -47,22 +62,23 @@
     def check_staying(self) -> None:
         """Refuse a stream that a planned stop of this router would cut off.
 
-        Callers that hold an old address answer connect up to its end; what shows
-        otherwise is an answer that breaks off in the middle.
+        Callers with an old address answer connect until the stop.  Without the
+        refusal their answers would break off in the middle.
 
         Raises
         ------
         AnvilshiftError
-            Code of a router that is not ready: not run, come back elsewhere.
+            Code of a router that is not ready: the request was not executed, and
+            the caller may retry at another router.
         """
         if self.ending:
-            raise AnvilshiftError(NOT_READY, "a planned stop", retry_after=_RETURN)
+            raise AnvilshiftError(NOT_READY, "a planned stop", retry_after=_RETRY_DELAY)
 
     def next_run(self) -> str:
-        """Return a name for an attempt, unique among all routers'."""
+        """Return a name for an attempt that is unique among all routers."""
         self.runs += 1
         return f"{self.router}/{self.runs}"
 
     def mean_work(self, service: str) -> Mean:
-        """Return the measured time of a plain service's requests."""
-        return self.work.setdefault(service, Mean(_PLAIN_WORK))
+        """Return the mean time of a plain service's requests."""
+        return self.work.setdefault(service, Mean(_DEFAULT_WORK))
--- a/anvilshift/gateway/turns.py
+++ b/anvilshift/gateway/turns.py
@@ -1,4 +1,4 @@
-"""One request's wait for its turn at targets that have named limits."""
+"""The wait of one request for permits at targets with rate limits."""
 
 import asyncio
 
@@ -8,19 +8,21 @@
 from anvilshift.gateway.permits import Request
 from anvilshift.gateway.shared import Shared
 
-_LOOK_AGAIN: Millis = 250.0
-"""How long a request waits for a paused target before others are weighed again."""
-_SPREAD = 1.2
-"""Requests that wait for one pause to end are sent apart by this part of it."""
+_MAX_PAUSE_WAIT: Millis = 250.0
+"""How long a request waits for a paused target before other targets are considered."""
+_MAX_PAUSE_FACTOR = 1.2
+"""Requests that wait for the end of a pause are spread over up to this multiple of the
+remaining time, so that they aren't all sent at once."""
 
 
 class Turn:
-    """One request's permits, and what it was told of them.
+    """The permits of one request, and the issuers' answers to it.
 
     Attributes
     ----------
     organisation
-        Who pays; empty while it isn't known, and for an anonymous request.
+        The organisation that pays; empty while unknown and for an anonymous
+        request.
     """
 
     def __init__(self, shared: Shared, identity: str, arrived: Millis) -> None:
@@ -28,50 +30,51 @@
         self._identity = identity
         self.organisation = ""
         self._arrived = arrived
-        self._expected: dict[str, Millis] = {}
-        self._refused: dict[str, Millis] = {}
-        self._bid: tuple[str, str] | None = None
+        self._permits_expected_at: dict[str, Millis] = {}
+        self._retry_at: dict[str, Millis] = {}
+        self._pending_ask: tuple[str, str] | None = None
 
     @property
     def refused(self) -> set[str]:
-        """Return the targets that have no permit for this request in time."""
-        return set(self._refused)
+        """Return the targets at which this request gets no permit in time."""
+        return set(self._retry_at)
 
     def find_return(self) -> Millis | None:
-        """Return the time until a refused request may find a permit."""
+        """Return the time until a permit may be available; None if none was refused."""
         now = self._shared.clock.now()
-        return max(0.0, min(self._refused.values()) - now) if self._refused else None
+        return max(0.0, min(self._retry_at.values()) - now) if self._retry_at else None
 
     def list_turns(self) -> dict[str, Millis]:
-        """Return the time until this request's turn, where it was told."""
+        """Return the expected time until a permit, for targets with a queued ask."""
         now = self._shared.clock.now()
-        return {name: at - now for name, at in self._expected.items()}
+        return {name: at - now for name, at in self._permits_expected_at.items()}
 
     async def take(self, choice: Choice, rank: int, end: Millis) -> str | None:
         """Return the name of an attempt that may be sent now; None if none may.
 
-        Then the request was told when its turn is, and other targets may be better.
+        After None the target is paused, or the expected wait or refusal is known, and
+        another target may be the better choice.
 
         Parameters
         ----------
         end
-            When the answer must have begun.
+            Deadline for the start of the answer.
         """
         permits, name = self._shared.permits, choice.target.info.name
-        if self._bid is not None and self._bid[1] != name:
+        if self._pending_ask is not None and self._pending_ask[1] != name:
             self.close()
         pause = choice.target.paused_until - self._shared.clock.now()
         if pause > 0:
             self.close()
-            spread = self._shared.rng.uniform(1.0, _SPREAD)
-            await asyncio.sleep(min(pause * spread, _LOOK_AGAIN) / SECOND)
+            factor = self._shared.rng.uniform(1.0, _MAX_PAUSE_FACTOR)
+            await asyncio.sleep(min(pause * factor, _MAX_PAUSE_WAIT) / SECOND)
             return None
         if not permits.is_limited(choice.target):
             self.close()
             return self._shared.next_run()
-        first = self._bid is None
-        run = self._bid[0] if self._bid else self._shared.next_run()
-        self._bid = run, name
+        first = self._pending_ask is None
+        run = self._pending_ask[0] if self._pending_ask else self._shared.next_run()
+        self._pending_ask = run, name
         request = Request(
             run,
             self._identity,
@@ -83,16 +86,16 @@
         verdict = await permits.ask(choice.target, request, first)
         now = self._shared.clock.now()
         if verdict.state is State.QUEUED:
-            self._expected[name] = now + verdict.wait
+            self._permits_expected_at[name] = now + verdict.wait
             return None
-        self._bid = None
+        self._pending_ask = None
         if verdict.state is State.REFUSED:
-            self._refused[name] = now + verdict.wait
+            self._retry_at[name] = now + verdict.wait
             return None
         return run
 
     def close(self) -> None:
-        """Give up what this request still asks for."""
-        if self._bid is not None:
-            self._shared.permits.withdraw(*self._bid)
-            self._bid = None
+        """Withdraw the pending ask of this request."""
+        if self._pending_ask is not None:
+            self._shared.permits.withdraw(*self._pending_ask)
+            self._pending_ask = None
