--- a/anvilshift/gateway/messages.py
+++ b/anvilshift/gateway/messages.py
@@ -398,11 +398,13 @@
         raise ValueError("not a router message: expected a non-empty list")
     kind = _KINDS.get(str(values[0]))
     if kind is None or len(values) != len(fields(kind)) + 1:
-        raise ValueError("unknown message type or wrong number of fields")
+        raise ValueError(
+            "not a message of this router version: unknown type or field count"
+        )
     frozen = [_convert_lists(value) for value in values[1:]]
     for expected, value in zip(_FIELD_TYPES[kind], frozen, strict=True):
         if type(value) is not expected:
-            raise ValueError(f"wrong type of a field in message {values[0]}")
+            raise ValueError(f"a {values[0]} message has a field of the wrong type")
     return kind(*frozen)
 
 
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -1,4 +1,4 @@
-"""Reservations and records of several hosts on one store, in virtual time."""
+"""Routers on several hosts that share one store and a total, in virtual time."""
 
 import asyncio
 
@@ -15,10 +15,10 @@
 
 POUNDS = "pounds"
 HISTORY = 20_000.0
-_DATAGRAM_S = 0.001
-_LOST_S = 0.65
-"""After a kill the others take the router for gone."""
-_SWEEP_S = 0.1
+_DATAGRAM_DELAY_S = 0.001
+_DETECTION_S = 0.65
+"""Time after a kill until the other routers notice it."""
+_SWEEP_INTERVAL_S = 0.1
 
 
 class Fleet:
@@ -27,8 +27,8 @@
     Parameters
     ----------
     recording
-        Whether routers record their use.  A host that is started again has lost
-        power: its boot is another one each time.
+        Whether routers record their use.  Each start of a host follows a power
+        failure and has a new boot id.
     """
 
     def __init__(self, recording: bool = False) -> None:
@@ -43,13 +43,13 @@
         self.asks: list[tuple[str, Ask]] = []
         self.copies = 1
         self.spent = 0
-        self.births = 0
+        self.starts = 0
 
     def start(
         self, node: str, total: int = 10_000, version: int = 1, ip: str = ""
     ) -> Allotter:
-        self.births += 1
-        holder = f"{node}.{self.births}"
+        self.starts += 1
+        holder = f"{node}.{self.starts}"
         journal = self.journals[node] = SilentJournal()
         store = self.store.view(node)
         allotter = Allotter(store, node, holder, self.clock, journal)
@@ -103,7 +103,7 @@
     async def _sweep(self, node: str) -> None:
         one = self.reservations[node]
         while True:
-            await asyncio.sleep(_SWEEP_S)
+            await asyncio.sleep(_SWEEP_INTERVAL_S)
             if self.recording:
                 one.wallet.set_provable(self.recorders[node].is_provable())
             for gift, keeper in one.return_idle(self._find_keeper(one)):
@@ -111,8 +111,8 @@
 
     def _find_keeper(self, one: Reservations):
         def find(name: str) -> tuple[str, str] | None:
-            there = [k for k in one.keepers.list_others(name) if k in self.allotters]
-            return (self.allotters[there[0]].holder, there[0]) if there else None
+            present = [k for k in one.keepers.list_others(name) if k in self.allotters]
+            return (self.allotters[present[0]].holder, present[0]) if present else None
 
         return find
 
@@ -125,7 +125,7 @@
         self.asks.append((keeper, ask))
         loop = asyncio.get_running_loop()
         for _ in range(self.copies):
-            loop.call_later(_DATAGRAM_S, self._hear_ask, keeper, ask)
+            loop.call_later(_DATAGRAM_DELAY_S, self._hear_ask, keeper, ask)
         return True
 
     def _hear_ask(self, keeper: str, ask: Ask) -> None:
@@ -141,9 +141,9 @@
     def _send(self, node: str, answer) -> None:
         loop = asyncio.get_running_loop()
         for _ in range(self.copies):
-            loop.call_later(_DATAGRAM_S, self._take, node, answer)
+            loop.call_later(_DATAGRAM_DELAY_S, self._receive, node, answer)
 
-    def _take(self, node: str, answer) -> None:
+    def _receive(self, node: str, answer) -> None:
         if node not in self.reservations:
             return
         if isinstance(answer, Gift):
@@ -156,7 +156,7 @@
             task.cancel()
         self.spent += self.allotters.pop(node).wallet.purses[POUNDS].settled
         del self.reservations[node]
-        asyncio.get_running_loop().call_later(_LOST_S, self._note_routers)
+        asyncio.get_running_loop().call_later(_DETECTION_S, self._note_routers)
 
     async def spend(self, node: str, key: str, tokens: int) -> bool:
         reservations = self.reservations[node]
@@ -181,13 +181,13 @@
                 task.cancel()
 
 
-def play(course, recording: bool = False) -> None:
-    """Run a course of events on a fleet in virtual time."""
+def run_scenario(scenario, recording: bool = False) -> None:
+    """Run a scenario, an async function of a fleet, in virtual time."""
 
     async def run():
         fleet = Fleet(recording)
         try:
-            await course(fleet)
+            await scenario(fleet)
         finally:
             fleet.stop()
 
--- a/tests/gateway/permitfleet.py
+++ b/tests/gateway/permitfleet.py
@@ -1,4 +1,4 @@
-"""Routers that send to one engine with a limit, in virtual time."""
+"""Routers that send to one engine with a rate limit, in virtual time."""
 
 import asyncio
 import random
@@ -23,18 +23,18 @@
 ENGINE = "e1"
 SPAN_S = 4.0
 STABLE_S = 3.0
-_SWEEP_S = 0.1
-_LOST_S = 0.65
-_SMALL = 12
+_SWEEP_INTERVAL_S = 0.1
+_DETECTION_S = 0.65
+_SMALL_FLEET = 12
 
 
 class LimitedEngine:
-    """Counts what reaches it, and names a limit in its answers.
+    """Records the requests that reach it, and announces a rate limit in its answers.
 
     Attributes
     ----------
     arrivals
-        Instants in seconds.
+        Instants of the requests, in seconds.
     """
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
         self.arrivals: list[float] = []
 
     def count_most(self, since: float, until: float = float("inf")) -> int:
-        """Return the most requests of a span that ends within an interval."""
+        """Return the most requests in any span of `SPAN_S` that ends in an interval."""
         most, first = 0, 0
         for last, end in enumerate(self.arrivals):
             while end - self.arrivals[first] > SPAN_S:
@@ -57,14 +57,14 @@
 
 
 class PeerNetwork:
-    """One router's way to the others."""
+    """Simulated network that delays and loses one router's messages to the others."""
 
     def __init__(self, fleet: "PermitFleet", name: str) -> None:
         self.fleet, self.name = fleet, name
 
     @property
     def small(self) -> bool:
-        return self.fleet.size < _SMALL
+        return self.fleet.size < _SMALL_FLEET
 
     @property
     def routers(self):
@@ -90,11 +90,11 @@
 
 
 class LimitNode:
-    """One router: what a gateway does with a limited engine, and no more."""
+    """One router, reduced to what a gateway does with a rate-limited engine."""
 
     def __init__(self, fleet: "PermitFleet", name: str) -> None:
         self.fleet, self.name = fleet, name
-        self.incarnation = f"{name}.{fleet.births}"
+        self.incarnation = f"{name}.{fleet.starts}"
         self.journal = SilentJournal()
         self.loads = LoadMap()
         self.running = asyncio.Event()
@@ -143,7 +143,7 @@
             self.loads.send(ENGINE, message.run, Prompt(), 0, self.fleet.clock.now(), 0)
 
     async def call(self, patience: float, organisation="pounds", rank=1) -> bool:
-        """Answer one caller, who has nowhere else to go; tell whether it was sent."""
+        """Handle a request that only this engine can serve; tell if it was sent."""
         clock = self.fleet.clock
         end = clock.now() + patience
         turn = Turn(self.shared, "id", clock.now())
@@ -152,8 +152,8 @@
             await self.running.wait()
             target = self.loads.targets[ENGINE]
             choice = Choice(target, 0.0, turn=target.wait_for_turn(clock.now()))
-            hopeless = clock.now() + choice.turn > end or clock.now() >= end
-            if turn.refused or hopeless:
+            too_late = clock.now() + choice.turn > end or clock.now() >= end
+            if turn.refused or too_late:
                 turn.close()
                 self.refused.append(patience - (end - clock.now()))
                 return False
@@ -184,17 +184,17 @@
 
     async def sweep(self) -> None:
         while True:
-            await asyncio.sleep(_SWEEP_S)
+            await asyncio.sleep(_SWEEP_INTERVAL_S)
             if self.running.is_set():
                 self.permits.sweep(self.fleet.clock.now())
 
     async def keep_calling(self, rate: float, patience: float) -> None:
-        """Take callers' requests, the instants of which are drawn."""
+        """Start requests at random intervals, `rate` per second on average."""
         while True:
             await asyncio.sleep(self.fleet.rng.expovariate(rate))
-            self.spawn(self.call(patience))
+            self.start_task(self.call(patience))
 
-    def spawn(self, work) -> None:
+    def start_task(self, work) -> None:
         self.tasks.append(asyncio.get_running_loop().create_task(work))
 
 
@@ -204,7 +204,7 @@
     Parameters
     ----------
     size
-        Routers; from some number on, sends are not told to all.
+        Number of routers; in a large fleet sends aren't announced to all.
     """
 
     def __init__(self, size: int, seed: int, loss: float = 0.0) -> None:
@@ -213,7 +213,7 @@
         self.size = size
         self.loss = loss
         self.delay = 0.003
-        self.births = 0
+        self.starts = 0
         self.cuts: set[tuple[str, str]] = set()
         self.engine = LimitedEngine()
         self.senders: list[str] = []
@@ -227,11 +227,11 @@
         return self.clock.now() / 1_000.0
 
     def start(self, name: str) -> LimitNode:
-        self.births += 1
+        self.starts += 1
         node = self.nodes[name] = LimitNode(self, name)
-        node.spawn(node.sweep())
+        node.start_task(node.sweep())
         if self.rate:
-            node.spawn(node.keep_calling(self.rate, self.patience))
+            node.start_task(node.keep_calling(self.rate, self.patience))
         self.note_routers()
         for other in self.nodes.values():
             if other is not node:
@@ -240,13 +240,13 @@
         return node
 
     def offer(self, rate: float, patience: float = 1_000.0) -> None:
-        """Let each router take so many requests a second."""
+        """Give each router so many requests per second."""
         self.rate, self.patience = rate, patience
         for node in self.nodes.values():
-            node.spawn(node.keep_calling(rate, patience))
+            node.start_task(node.keep_calling(rate, patience))
 
     def note_routers(self) -> None:
-        """Let every router see which others are there."""
+        """Tell every router which others are running and reachable."""
         for node in self.nodes.values():
             names = {
                 other.name
@@ -256,7 +256,7 @@
             node.limits.note_routers(names | {node.name}, ())
 
     def _note_later(self) -> None:
-        asyncio.get_running_loop().call_later(_LOST_S, self.note_routers)
+        asyncio.get_running_loop().call_later(_DETECTION_S, self.note_routers)
 
     def kill(self, name: str) -> None:
         node = self.nodes.pop(name)
@@ -275,7 +275,7 @@
         self._note_later()
 
     def cut(self, name: str) -> None:
-        """Cut a router off from all others."""
+        """Isolate a router from all others."""
         for other in self.nodes:
             if other != name:
                 self.cuts |= {(name, other), (other, name)}
@@ -286,7 +286,7 @@
         self._note_later()
 
     def restart_engine(self) -> None:
-        """Start the engine anew at the same address."""
+        """Restart the engine at the same address, without a limit."""
         self.engine.born += 1
         self.engine.rate = None
         for node in self.nodes.values():
@@ -298,13 +298,13 @@
                 task.cancel()
 
 
-def play(course, size: int, seed: int = 1, loss: float = 0.0):
-    """Run a course of events in virtual time, and return what it returns."""
+def run_scenario(scenario, size: int, seed: int = 1, loss: float = 0.0):
+    """Run a scenario, an async function of a fleet, and return its result."""
 
     async def run():
         fleet = PermitFleet(size, seed, loss)
         try:
-            return await course(fleet)
+            return await scenario(fleet)
         finally:
             fleet.stop()
 
--- a/tests/gateway/silent.py
+++ b/tests/gateway/silent.py
@@ -1,4 +1,4 @@
-"""A journal for tests: it keeps its lines in memory."""
+"""A journal for tests that keeps its lines in memory."""
 
 from typing import Any
 
--- a/tests/gateway/test_allotting.py
+++ b/tests/gateway/test_allotting.py
@@ -3,12 +3,12 @@
 
 from anvilshift.core.errors import AnvilshiftError
 from anvilshift.core.keepers import list_keepers
-from tests.gateway.fleet import POUNDS, play
+from tests.gateway.fleet import POUNDS, run_scenario
 
 
 class AllotterTest(unittest.TestCase):
-    def test_a_total_is_spent_to_its_end_and_not_beyond(self):
-        async def course(fleet):
+    def test_the_whole_total_can_be_spent_and_not_more(self):
+        async def scenario(fleet):
             for node in ("a", "b", "c"):
                 fleet.start(node, total=3_000)
             served = 0
@@ -17,16 +17,16 @@
             self.assertLessEqual(fleet.count_spent(), 3_000)
             self.assertGreaterEqual(served, 29)
 
-        play(course)
+        run_scenario(scenario)
 
     def test_routers_that_start_together_do_not_all_write_the_shares(self):
-        """A fleet of twelve has lost power; its routers are back 110 ms apart.
+        """After a power failure twelve routers start 110 ms apart.
 
-        Each that knew few others took itself for a keeper and wrote its share.
-        Their writes met, and callers waited for the two that keep the tokens.
+        A router that knew few others considered itself a keeper and wrote its share.
+        The writes conflicted, and callers waited for the two actual keepers.
         """
 
-        async def course(fleet):
+        async def scenario(fleet):
             for n in range(12):
                 fleet.start(f"r{n}", total=100_000)
                 await asyncio.sleep(0.11)
@@ -39,16 +39,16 @@
             keepers = list_keepers(POUNDS, [f"r{n}" for n in range(12)])
             self.assertLessEqual(writers, set(keepers))
 
-        play(course)
+        run_scenario(scenario)
 
-    def test_work_goes_on_while_all_are_cut_from_the_store(self):
-        """Every router is cut from the store for 8 s.
+    def test_requests_are_served_while_no_router_reaches_the_store(self):
+        """No router reaches the store for 8 s.
 
-        One of them has spent its share while the others still have theirs;
-        its callers would be refused though tokens are there.
+        One router spends its share while the others still have theirs.  Its callers
+        would be refused although there are tokens left.
         """
 
-        async def course(fleet):
+        async def scenario(fleet):
             for node in ("a", "b", "c", "d"):
                 fleet.start(node, total=10_000)
             await asyncio.sleep(1.0)
@@ -57,10 +57,10 @@
             self.assertEqual(served, [True] * 9)
             self.assertLessEqual(fleet.count_spent(), 10_000)
 
-        play(course)
+        run_scenario(scenario)
 
-    def test_killed_and_started_anew_again_and_again_nothing_is_overspent(self):
-        async def course(fleet):
+    def test_repeated_kills_and_restarts_cause_no_overspending(self):
+        async def scenario(fleet):
             for node in ("a", "b"):
                 fleet.start(node, total=5_000)
             for n in range(40):
@@ -71,10 +71,10 @@
                     await asyncio.sleep(0.5)
             self.assertLessEqual(fleet.count_spent(), 5_000)
 
-        play(course)
+        run_scenario(scenario)
 
-    def test_a_start_ends_the_shares_of_its_former_incarnation(self):
-        async def course(fleet):
+    def test_a_restart_ends_the_share_of_the_former_incarnation(self):
+        async def scenario(fleet):
             fleet.start("a")
             await asyncio.sleep(1.0)
             fleet.kill("a")
@@ -83,16 +83,16 @@
             self.assertEqual(set(fleet.read().shares), {"a.2"})
             self.assertGreater(fleet.read().doubt, 0)
 
-        play(course)
+        run_scenario(scenario)
 
     def test_a_farewell_leaves_nothing_in_doubt(self):
-        """A router stops as planned while it is cut from the store.
+        """A planned stop of a router happens while it can't reach the store.
 
-        Its share can't be handed back; counted as spent whole, a fifth of the
-        organisation's tokens would be out of reach for the day.
+        The router can't return its share.  If all of it counted as spent, a fifth of
+        the organisation's tokens would be unavailable for the day.
         """
 
-        async def course(fleet):
+        async def scenario(fleet):
             fleet.start("a")
             other = fleet.start("b")
             await asyncio.sleep(1.0)
@@ -104,10 +104,10 @@
             self.assertNotIn("a.1", fleet.read().shares)
             self.assertEqual((fleet.read().closed, fleet.read().doubt), (100, 0))
 
-        play(course)
+        run_scenario(scenario)
 
-    def test_a_write_whose_answer_is_lost_is_not_counted_on(self):
-        async def course(fleet):
+    def test_tokens_of_an_unanswered_write_are_not_spent(self):
+        async def scenario(fleet):
             allotter = fleet.start("a")
             await asyncio.sleep(1.0)
             for n in range(20):
@@ -118,10 +118,10 @@
             self.assertLessEqual(allotter.wallet.purses[POUNDS].spent, ceiling)
             self.assertLessEqual(fleet.count_spent(), 10_000)
 
-        play(course)
+        run_scenario(scenario)
 
-    def test_an_exhausted_total_is_told_from_one_out_of_reach(self):
-        async def course(fleet):
+    def test_an_exhausted_total_and_an_unreachable_store_have_different_codes(self):
+        async def scenario(fleet):
             fleet.start("a", total=1_000)
             await asyncio.sleep(1.0)
             self.assertTrue(await fleet.spend("a", "x", 900))
@@ -134,10 +134,10 @@
                 await fleet.reservations["a"].reserve(POUNDS, "z", 600, 60_000.0)
             self.assertEqual(caught.exception.code.number, 2002)
 
-        play(course)
+        run_scenario(scenario)
 
-    def test_a_closed_share_is_handed_back_and_not_drawn_again(self):
-        async def course(fleet):
+    def test_a_closed_router_returns_its_share_and_draws_no_more(self):
+        async def scenario(fleet):
             allotter = fleet.start("a")
             await asyncio.sleep(1.0)
             await fleet.spend("a", "x", 100)
@@ -146,4 +146,4 @@
             self.assertEqual(fleet.read().shares, {})
             self.assertEqual(fleet.read().closed, 100)
 
-        play(course)
+        run_scenario(scenario)
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -9,17 +9,17 @@
 from tests.gateway.silent import SilentJournal
 
 
-async def refuse(caller: str, verb: str) -> None:
+async def refuse_call(caller: str, verb: str) -> None:
     raise AnvilshiftError(PLATFORM_DOWN)
 
 
-async def accept(caller: str, verb: str) -> None:
+async def accept_call(caller: str, verb: str) -> None:
     return None
 
 
 class FollowerTest(unittest.TestCase):
-    def follow(self, course):
-        """Run a course of a test beside a follower, in virtual time."""
+    def follow(self, scenario):
+        """Run a scenario while a follower runs, in virtual time."""
 
         async def run():
             store = MemoryStore()
@@ -34,14 +34,14 @@
             )
             task = asyncio.create_task(follower.run())
             try:
-                await course(store, follower, seen)
+                await scenario(store, follower, seen)
             finally:
                 task.cancel()
 
         run_virtual(run())
 
-    def test_what_is_there_and_what_changes_is_told(self):
-        async def course(store, follower, seen):
+    def test_existing_objects_and_changes_are_reported(self):
+        async def scenario(store, follower, seen):
             await store.put("config", "main", {"version": 1}, 0)
             await asyncio.sleep(0.1)
             await store.put("config", "main", {"version": 2}, 1)
@@ -49,10 +49,10 @@
             self.assertEqual(seen, [("main", {"version": 1}), ("main", {"version": 2})])
             self.assertTrue(follower.is_fresh())
 
-        self.follow(course)
+        self.follow(scenario)
 
-    def test_a_store_that_comes_back_is_followed_on(self):
-        async def course(store, follower, seen):
+    def test_following_continues_after_an_outage(self):
+        async def scenario(store, follower, seen):
             await asyncio.sleep(0.1)
             store.faults.outage = True
             await asyncio.sleep(10.0)
@@ -62,15 +62,16 @@
             await asyncio.sleep(1.5)
             self.assertEqual(seen, [("main", {"version": 3})])
 
-        self.follow(course)
+        self.follow(scenario)
 
-    def test_a_long_outage_is_asked_about_ever_less_often(self):
-        """Dozens of routers lose the store for 8 s, each with two followers.
+    def test_calls_become_less_frequent_during_a_long_outage(self):
+        """The store is unreachable for 8 s, and each router has two followers.
 
-        Each asked three times a second, and every call is paid for.
+        With dozens of routers, three calls per second and follower were expensive,
+        because every call is priced.
         """
 
-        async def course(store, follower, seen):
+        async def scenario(store, follower, seen):
             scout = Follower(
                 store,
                 "targets",
@@ -83,21 +84,22 @@
             task = asyncio.create_task(scout.run())
             await asyncio.sleep(2.0)
             store.calls.clear()
-            store.faults.before = refuse
+            store.faults.before = refuse_call
             await asyncio.sleep(8.0)
-            # The scout's are 0.3, 0.45 and 0.675 s apart and then 0.9, twelve at the
-            # most; its follower's are 1.2 s apart or more, eight at the most.
+            # The scout pauses for 0.3, 0.45, 0.675 and then 0.9 s, so it makes at most
+            # twelve calls.  The follower pauses for at least 1.2 s, so it makes at most
+            # eight.
             self.assertLessEqual(store.calls.total(), 20)
-            store.faults.before = accept
+            store.faults.before = accept_call
             await store.put("config", "main", {"version": 3}, 0)
             await asyncio.sleep(1.0)
             self.assertEqual(seen[-1:], [("main", {"version": 3})])
             task.cancel()
 
-        self.follow(course)
+        self.follow(scenario)
 
-    def test_lost_history_begins_anew_with_a_list(self):
-        async def course(store, follower, seen):
+    def test_lost_history_causes_a_new_list(self):
+        async def scenario(store, follower, seen):
             await store.put("config", "main", {"version": 1}, 0)
             await asyncio.sleep(0.1)
             store.faults.outage = True
@@ -108,25 +110,25 @@
             await asyncio.sleep(1.5)
             self.assertEqual(seen[-1], ("main", {"version": 2}))
 
-        self.follow(course)
+        self.follow(scenario)
 
 
 class RegisterTest(unittest.TestCase):
     def setUp(self):
         self.clock = ManualClock(start=100_000.0)
-        self.gone = []
-        self.register = Register(self.clock, self.gone.append)
+        self.removed = []
+        self.register = Register(self.clock, self.removed.append)
 
-    def test_a_missing_entry_is_gone_at_once_while_the_store_is_well(self):
+    def test_a_missing_entry_is_removed_at_once_without_an_outage(self):
         self.register.put("e1", {})
         self.register.drop("e1")
-        self.assertEqual(self.gone, ["e1"])
+        self.assertEqual(self.removed, ["e1"])
 
-    def test_an_entry_that_lapsed_in_an_outage_is_given_time(self):
-        """The store is away for some seconds and a target's entry lapses.
+    def test_an_entry_that_expired_in_an_outage_may_return(self):
+        """A target's entry expires during an outage of the store.
 
-        Taken as gone when the store is back, a sound target would get no work
-        for the two seconds that it needs to register again.
+        If the entry counted as removed when the store is back, a healthy target would
+        get no work for the two seconds that it needs to register again.
         """
         self.register.put("e1", {})
         self.register.note_outage()
@@ -134,22 +136,22 @@
         self.register.drop("e1")
         self.clock.advance(1_500.0)
         self.register.sweep()
-        self.assertEqual(self.gone, [])
+        self.assertEqual(self.removed, [])
         self.register.put("e1", {})
         self.clock.advance(5_000.0)
         self.register.sweep()
-        self.assertEqual(self.gone, [])
+        self.assertEqual(self.removed, [])
 
-    def test_an_entry_that_stays_away_after_an_outage_is_gone(self):
+    def test_an_entry_that_stays_missing_after_an_outage_is_removed(self):
         self.register.put("e1", {})
         self.register.note_outage()
         self.register.drop("e1")
         self.clock.advance(2_300.0)
         self.register.sweep()
-        self.assertEqual(self.gone, ["e1"])
+        self.assertEqual(self.removed, ["e1"])
 
-    def test_a_list_tells_what_is_missing(self):
+    def test_entries_missing_in_a_list_are_removed(self):
         self.register.put("e1", {})
         self.register.put("e2", {})
         self.register.settle({"e2"})
-        self.assertEqual(self.gone, ["e1"])
+        self.assertEqual(self.removed, ["e1"])
--- a/tests/gateway/test_messages.py
+++ b/tests/gateway/test_messages.py
@@ -43,17 +43,17 @@
 
 
 class MessagesTest(unittest.TestCase):
-    def test_every_message_survives_its_encoding(self):
+    def test_decoding_restores_every_message(self):
         datagrams = pack(encode(message) for message in MESSAGES)
         found = [message for datagram in datagrams for message in decode(datagram)]
         self.assertEqual(found, MESSAGES)
 
-    def test_datagrams_are_not_cut_into_fragments(self):
+    def test_datagrams_stay_below_the_fragmentation_limit(self):
         datagrams = pack([b"x" * 400] * 10)
         self.assertEqual(len(datagrams), 4)
         self.assertTrue(all(len(one) <= MAX_DATAGRAM for one in datagrams))
 
-    def test_what_is_no_message_is_refused(self):
+    def test_malformed_messages_raise_an_error(self):
         for data in (b"", b"{}", b"[]", b'["Beat"]', b'["Other",1]', b"\xff", b"[[1]]"):
             with self.subTest(data), self.assertRaises(ValueError):
                 decode(data)
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -11,7 +11,7 @@
 
 
 class RecordingTransport:
-    """Keeps the datagrams that would be sent, by address."""
+    """Records the datagrams that would be sent, each with its address."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, bytes]] = []
@@ -26,8 +26,8 @@
 
 def make_beat(n: int, known: tuple[str, ...] = ()) -> Beat:
     ip, domain = f"10.0.0.{n}", DOMAINS[n % 3]
-    front = f"{ip}:80"
-    return Beat(f"r{n}", f"r{n}.1", ip, front, domain, 1, True, False, True, known)
+    entrance = f"{ip}:80"
+    return Beat(f"r{n}", f"r{n}.1", ip, entrance, domain, 1, True, False, True, known)
 
 
 class PeersTest(unittest.IsolatedAsyncioTestCase):
@@ -43,7 +43,7 @@
         beat = make_beat(n)
         self.peers.datagram_received(encode(beat), (beat.ip, 7000))
 
-    async def test_a_small_fleet_hears_everything_at_once(self):
+    async def test_a_small_fleet_gets_every_message_at_once(self):
         for n in range(4):
             self.hear(n)
         self.assertTrue(self.peers.small)
@@ -51,38 +51,38 @@
         await asyncio.sleep(0.01)
         self.assertEqual(len(self.transport.list_addresses("Ended")), 4)
 
-    async def test_a_larger_fleet_hears_of_sends_only_near_the_engine(self):
-        """Thirty routers each tell all others of every send and end.
+    async def test_in_a_larger_fleet_sends_are_announced_only_near_the_engine(self):
+        """Each of thirty routers sent a message to all others for every send and end.
 
-        A router whose callers send much fills its link with that, and its answers
-        come late.
+        A router with many requests filled its link with them, which delayed its
+        answers.
         """
         for n in range(30):
             self.hear(n)
         sent = Sent("own/1", "e1", (), 10, 5, 0, False)
         self.peers.tell_near(sent, "south")
         await asyncio.sleep(0.08)
-        told = self.transport.list_addresses("Sent")
+        receivers = self.transport.list_addresses("Sent")
         near = [f"10.0.0.{n}" for n in range(30) if DOMAINS[n % 3] != "west"]
-        self.assertCountEqual(told, near)
+        self.assertCountEqual(receivers, near)
 
-    async def test_what_far_routers_are_told_goes_to_them_alone(self):
+    async def test_messages_for_far_routers_go_only_to_them(self):
         for n in range(30):
             self.hear(n)
         self.peers.tell_far(Held("e1", (("sheet", 9_000),)), "south")
         await asyncio.sleep(0.3)
-        told = self.transport.list_addresses("Held")
+        receivers = self.transport.list_addresses("Held")
         far = [f"10.0.0.{n}" for n in range(30) if DOMAINS[n % 3] == "west"]
-        self.assertCountEqual(told, far)
+        self.assertCountEqual(receivers, far)
 
-    async def test_nobody_is_far_where_all_are_near(self):
+    async def test_no_message_is_sent_if_no_router_is_far(self):
         self.hear(0)
         self.hear(1)
         self.peers.tell_far(Held("e1", (("sheet", 9_000),)), "south")
         await asyncio.sleep(0.3)
         self.assertEqual(self.transport.list_addresses("Held"), [])
 
-    async def test_the_end_of_a_run_goes_with_the_next_send(self):
+    async def test_the_end_of_a_run_shares_a_datagram_with_the_next_send(self):
         for n in range(30):
             self.hear(n)
         self.peers.tell_near(Ended("own/1", "e1"), "north", soon=False)
@@ -94,10 +94,10 @@
         kinds = [type(message) for message in decode(datagrams[0])]
         self.assertEqual(kinds, [Ended, Sent])
 
-    async def test_any_datagram_shows_that_a_router_lives(self):
-        """A router of a larger fleet sends heartbeats seldom, and links lose some.
+    async def test_any_datagram_shows_that_a_router_is_running(self):
+        """In a larger fleet heartbeats are infrequent, and links lose some of them.
 
-        What it tells of its work shows as well that it is there.
+        Other messages of a router also show that it is running.
         """
         self.hear(1)
         silence = find_beat(2) * 4.3
@@ -108,7 +108,7 @@
         self.clock.advance(2.0)
         self.assertEqual(self.peers.list_present(), [])
 
-    async def test_a_router_that_is_found_is_told_of_all_others_at_once(self):
+    async def test_a_discovered_router_gets_a_heartbeat_at_once(self):
         for n in range(20):
             self.hear(n)
         self.transport.sent.clear()
--- a/tests/gateway/test_recording.py
+++ b/tests/gateway/test_recording.py
@@ -5,23 +5,23 @@
 from anvilshift.core.keepers import list_keepers
 from anvilshift.core.retention import SLACK
 from anvilshift.core.usage import SPREAD_OVER
-from tests.gateway.fleet import POUNDS, play
+from tests.gateway.fleet import POUNDS, run_scenario
 
 TOTAL = 1_000_000
 SMALL = 700_000
-"""Of this, four hosts spend more than half before the history proves anything."""
+"""Four hosts spend more than half of this before the history proves any bound."""
 HOSTS = ("a", "b", "c", "d")
 KEEPER = list_keepers(POUNDS, HOSTS)[0]
-"""The host that keeps most of the total."""
+"""The host that holds most of the total."""
 
 
 async def use_evenly(fleet, seconds: float, tokens: int = 400) -> int:
-    """Spend at every host ten times a second; return how often it was refused."""
+    """Spend at every host ten times a second; return the number of refusals."""
     refused = 0
     for n in range(int(seconds * 10)):
         keys = [f"{node}/{fleet.clock.now()}/{n}" for node in fleet.allotters]
-        works = [fleet.spend(key[0], key, tokens) for key in keys]
-        refused += (await asyncio.gather(*works)).count(False)
+        spending = [fleet.spend(key[0], key, tokens) for key in keys]
+        refused += (await asyncio.gather(*spending)).count(False)
         await asyncio.sleep(0.1)
     return refused
 
@@ -31,8 +31,8 @@
         fleet.start(node, total)
 
 
-async def lose_power(fleet, seconds: float) -> int:
-    """Kill all hosts and start them with the store back; return what was spent."""
+async def restart_all(fleet, seconds: float) -> int:
+    """Kill all hosts, restart them with the store reachable; return what was spent."""
     for node in HOSTS:
         fleet.kill(node)
     spent = fleet.spent
@@ -44,16 +44,16 @@
 
 
 class RecordingTest(unittest.TestCase):
-    def test_a_loss_of_all_power_strands_little(self):
-        """All hosts lose power for a second while the store is up.
+    def test_a_power_failure_of_all_hosts_makes_few_tokens_unavailable(self):
+        """All hosts lose power for a second while the store is reachable.
 
-        What they held ready for a cut from the store would count as spent, and
-        the organisation be refused near its end with tokens that nobody can reach.
+        The tokens that they held ready for an outage of the store would count as
+        spent.  The organisation would be refused although it has tokens left.
         """
-        doubts = {}
+        doubt_by_recording = {}
         for recording in (False, True):
 
-            async def course(fleet, recording=recording):
+            async def scenario(fleet, recording=recording):
                 start_all(fleet)
                 await use_evenly(fleet, 25.0)
                 for node in HOSTS:
@@ -61,134 +61,135 @@
                 await asyncio.sleep(1.0)
                 start_all(fleet)
                 await asyncio.sleep(1.0)
-                doubts[recording] = fleet.read().doubt
+                doubt_by_recording[recording] = fleet.read().doubt
                 self.assertLessEqual(fleet.count_spent(), TOTAL)
 
-            play(course, recording)
-        self.assertLess(doubts[True], doubts[False] / 2)
+            run_scenario(scenario, recording)
+        self.assertLess(doubt_by_recording[True], doubt_by_recording[False] / 2)
 
-    def test_a_restart_counts_little_more_time_than_has_gone_by(self):
-        """All hosts lose power for a second, between the writes of one another.
+    def test_a_restart_counts_little_more_time_than_has_passed(self):
+        """All hosts lose power for a second, each between writes of the others.
 
-        What a router may spend grows by the square of the time since its record.
-        Were the time counted too long by another's write, each organisation would
-        have a part of its total out of reach that nobody spent.
+        What a router may spend grows with the square of the time since its record.
+        If another router's write made that time longer, a part of each total would
+        be unavailable although nobody spent it.
         """
 
-        async def course(fleet):
+        async def scenario(fleet):
             start_all(fleet)
             await use_evenly(fleet, 25.0)
-            await lose_power(fleet, 1.0)
-            # A record's period, the time without power, the slack of the history, and
-            # the spacing of marks and of bounds.
+            await restart_all(fleet, 1.0)
+            # The period of records, the time without power, the margin of the history,
+            # and the spacing of marks and of bounds.
             most = 400.0 + 1_000.0 + SLACK + 80.0 + 0.08 * 1_630.0
             for keeper in list_keepers(POUNDS, HOSTS):
                 settled = dict(fleet.journals[keeper].lines)["use_settled"]
                 self.assertLess(settled["elapsed"], most)
 
-        play(course, recording=True)
+        run_scenario(scenario, recording=True)
 
-    def test_requests_just_after_a_loss_of_all_power_wait_for_the_last_host(self):
-        """All hosts lose power and are back 0.3 s apart.
+    def test_requests_after_a_power_failure_wait_for_the_last_host(self):
+        """All hosts lose power and restart 0.3 s apart.
 
-        Each ends its own former share as it starts.  Who is back first finds little
-        free, and refused what the tokens of the last host cover a moment later.
+        Each ends its own former share when it starts.  The first one found few free
+        tokens and refused requests that the last host's tokens covered a moment later.
         """
 
-        async def course(fleet):
+        async def scenario(fleet):
             start_all(fleet, SMALL)
             await use_evenly(fleet, 25.0)
             for node in HOSTS:
                 fleet.kill(node)
             await asyncio.sleep(1.0)
-            works = []
+            spending = []
             for node in (*(node for node in HOSTS if node != KEEPER), KEEPER):
                 fleet.start(node, SMALL)
                 await asyncio.sleep(0.1)
-                works += [fleet.spend(node, f"{node}-{n}", 15_000) for n in range(2)]
-                works[-2:] = [asyncio.create_task(work) for work in works[-2:]]
+                spending += [fleet.spend(node, f"{node}-{n}", 15_000) for n in range(2)]
+                spending[-2:] = [asyncio.create_task(work) for work in spending[-2:]]
                 await asyncio.sleep(0.2)
-            self.assertEqual(await asyncio.gather(*works), [True] * 8)
+            self.assertEqual(await asyncio.gather(*spending), [True] * 8)
 
-        play(course, recording=True)
+        run_scenario(scenario, recording=True)
 
-    def test_a_fleet_that_has_lost_all_power_can_prove_its_use_at_once(self):
-        """All hosts lose power, and ten seconds after that once more.
+    def test_a_fleet_can_prove_its_use_just_after_a_power_failure(self):
+        """All hosts lose power, and again ten seconds later.
 
-        They knew nothing of the store's history from before the first loss.  So
-        they held little without a write, each request cost one, and what they held
-        at the second loss counted as spent whole.
+        They had no marks in the store's history from before the first power failure.
+        So they held few tokens without a write, each request cost a write, and all
+        that they held at the second failure counted as spent.
         """
 
-        async def course(fleet):
+        async def scenario(fleet):
             start_all(fleet, SMALL)
             await use_evenly(fleet, 25.0)
-            await lose_power(fleet, 1.0)
+            await restart_all(fleet, 1.0)
             for _ in range(9):
                 self.assertTrue(fleet.recorders[KEEPER].is_provable())
                 await asyncio.sleep(1.0)
-            spent = await lose_power(fleet, 1.0)
+            spent = await restart_all(fleet, 1.0)
             settled = dict(fleet.journals[KEEPER].lines)["use_settled"]
             self.assertLess(settled["elapsed"], 4_000.0)
             self.assertGreaterEqual(fleet.read().closed, spent)
 
-        play(course, recording=True)
+        run_scenario(scenario, recording=True)
 
-    def test_a_cut_of_all_is_outlasted(self):
-        """All routers are cut from the store for 8 s and go on serving."""
+    def test_requests_are_served_while_no_router_reaches_the_store(self):
+        """No router reaches the store for 8 s, and all continue to serve requests."""
 
-        async def course(fleet):
+        async def scenario(fleet):
             start_all(fleet)
             await use_evenly(fleet, 25.0)
             fleet.store.faults.cut = set(HOSTS)
             self.assertEqual(await use_evenly(fleet, 8.0), 0)
 
-        play(course, recording=True)
+        run_scenario(scenario, recording=True)
 
-    def test_what_was_spent_in_an_outage_counts(self):
-        """All hosts lose power in an outage, seconds after it began.
+    def test_tokens_spent_in_an_outage_are_counted(self):
+        """All hosts lose power seconds after an outage of the store began.
 
-        The records in the store are of the time before.  Were the restart taken
-        for one that followed on them, the outage's spending would be spent again.
+        The records in the store are older than the outage.  If the restart were
+        assumed to follow directly on them, tokens spent in the outage would be spent
+        again.
         """
 
-        async def course(fleet):
+        async def scenario(fleet):
             start_all(fleet, SMALL)
             await use_evenly(fleet, 25.0)
             fleet.store.faults.outage = True
             await use_evenly(fleet, 5.0)
-            spent = await lose_power(fleet, 0.7)
+            spent = await restart_all(fleet, 0.7)
             settled = dict(fleet.journals[KEEPER].lines)["use_settled"]
             self.assertGreater(settled["elapsed"], 5_000.0)
             self.assertGreaterEqual(fleet.read().closed, spent)
 
-        play(course, recording=True)
+        run_scenario(scenario, recording=True)
 
-    def test_a_burst_in_an_outage_can_not_outrun_what_a_restart_counts(self):
-        """A burst comes just after the store is lost, then all hosts lose power.
+    def test_a_burst_in_an_outage_spends_no_more_than_a_restart_counts(self):
+        """A burst arrives just after an outage began, then all hosts lose power.
 
-        The restart sees that two seconds have gone by and counts what could be
-        spent in these.  A router that spends its whole cushion at once spends more.
+        The restart proves a time of two seconds and counts what could be spent in
+        that time.  A router that spends its whole cushion at once spends more.
         """
 
-        async def course(fleet):
+        async def scenario(fleet):
             start_all(fleet, SMALL)
             await use_evenly(fleet, 25.0)
             fleet.store.faults.outage = True
             await asyncio.sleep(0.5)
-            # Its requests wait until they may be spent, some for seconds.
+            # The requests wait until their tokens may be spent, some for seconds.
             burst = asyncio.create_task(use_evenly(fleet, 1.0, tokens=3_000))
             await asyncio.sleep(1.0)
             burst.cancel()
-            spent = await lose_power(fleet, 0.3)
+            spent = await restart_all(fleet, 0.3)
             settled = dict(fleet.journals[KEEPER].lines)["use_settled"]
             self.assertLess(settled["elapsed"], SPREAD_OVER)
             self.assertGreaterEqual(fleet.read().closed, spent)
 
-        play(course, recording=True)
+        run_scenario(scenario, recording=True)
 
-    def test_nothing_is_proved_once_the_history_is_forgotten(self):
-        async def course(fleet):
+    def test_nothing_is_proved_after_the_history_is_lost(self):
+        async def scenario(fleet):
             start_all(fleet)
             await use_evenly(fleet, 25.0)
             held = fleet.read().shares[f"{KEEPER}.{HOSTS.index(KEEPER) + 1}"].ceiling
@@ -200,15 +201,15 @@
             self.assertIsNone(settled["elapsed"])
             self.assertGreaterEqual(fleet.read().closed, held)
 
-        play(course, recording=True)
+        run_scenario(scenario, recording=True)
 
     def test_a_host_of_the_same_name_at_another_address_proves_nothing(self):
-        """A host is replaced by one of its name while it still runs, cut off.
+        """A host is replaced by one of the same name while it still runs, isolated.
 
-        It may go on spending up to its ceiling, so all of that has to count.
+        It may continue to spend up to its ceiling, so all of that has to count.
         """
 
-        async def course(fleet):
+        async def scenario(fleet):
             start_all(fleet)
             await use_evenly(fleet, 25.0)
             held = fleet.read().shares[f"{KEEPER}.{HOSTS.index(KEEPER) + 1}"].ceiling
@@ -218,31 +219,31 @@
             self.assertNotIn("use_settled", fleet.journals[KEEPER].list_events())
             self.assertGreaterEqual(fleet.read().closed, held)
 
-        play(course, recording=True)
+        run_scenario(scenario, recording=True)
 
-    def test_whatever_happens_to_the_store_nothing_is_overspent(self):
-        """Outages, lost answers, forgotten history, kills and losses of power.
+    def test_random_faults_cause_no_overspending(self):
+        """Outages, lost answers, lost history, kills and power failures.
 
-        They come in any order and overlap, with spending all the while: a total
-        that is handed out twice shows as more spent than there is.
+        They occur in random order and overlap while requests spend tokens.  If a
+        part of the total is granted twice, more than the total is spent.
         """
         for seed in range(12):
             with self.subTest(seed=seed):
                 rng = random.Random(seed)
 
-                async def course(fleet, rng=rng):
+                async def scenario(fleet, rng=rng):
                     start_all(fleet, SMALL)
                     await use_evenly(fleet, rng.uniform(18.0, 24.0))
                     for _ in range(8):
-                        await self._disturb(fleet, rng)
+                        await self._inject_fault(fleet, rng)
                         await use_evenly(fleet, rng.uniform(0.1, 4.0), tokens=300)
                     fleet.store.faults.outage, fleet.store.faults.cut = False, set()
                     await use_evenly(fleet, 6.0, tokens=3_000)
                     self.assertLessEqual(fleet.count_spent(), SMALL)
 
-                play(course, recording=True)
+                run_scenario(scenario, recording=True)
 
-    async def _disturb(self, fleet, rng: random.Random) -> None:
+    async def _inject_fault(self, fleet, rng: random.Random) -> None:
         faults, event = fleet.store.faults, rng.randrange(9)
         if event < 3:
             faults.outage = not faults.outage
@@ -253,9 +254,9 @@
         elif event == 5:
             fleet.store.forget_history()
         else:
-            struck = HOSTS if event > 6 else rng.sample(HOSTS, 1)
-            for node in struck:
+            killed = HOSTS if event > 6 else rng.sample(HOSTS, 1)
+            for node in killed:
                 fleet.kill(node)
             await asyncio.sleep(rng.uniform(0.1, 1.0))
-            for node in struck:
+            for node in killed:
                 fleet.start(node, SMALL)
--- a/tests/gateway/test_reserving.py
+++ b/tests/gateway/test_reserving.py
@@ -2,7 +2,7 @@
 import unittest
 
 from anvilshift.core.keepers import list_keepers
-from tests.gateway.fleet import POUNDS, play
+from tests.gateway.fleet import POUNDS, run_scenario
 
 HOSTS = ("a", "b", "c", "d", "e", "f")
 KEEPERS = list_keepers(POUNDS, HOSTS)
@@ -16,30 +16,30 @@
 
 
 class ReservingTest(unittest.TestCase):
-    def test_large_prompts_at_one_router_are_served_in_a_cut_of_all(self):
-        """All routers lose the store, and one organisation's prompts of 2 % of its
-        total come to routers that keep none of its tokens.
+    def test_large_prompts_are_served_while_no_router_reaches_the_store(self):
+        """No router reaches the store, and prompts that cost 2 % of an organisation's
+        total arrive at routers that aren't keepers of its tokens.
 
-        Were the tokens spread over all routers, none of them would have as many.
+        If the tokens were spread over all routers, none would have enough for one.
         """
 
-        async def course(fleet):
+        async def scenario(fleet):
             await start_all(fleet, 100_000)
             fleet.store.faults.cut = set(HOSTS)
             served = [await fleet.spend(OTHERS[n % 3], str(n), 2_000) for n in range(4)]
             self.assertEqual(served, [True] * 4)
             self.assertLessEqual(fleet.count_spent(), 100_000)
 
-        play(course)
+        run_scenario(scenario)
 
-    def test_a_burst_at_every_router_draws_only_at_the_keepers(self):
-        """Sixty requests come at once to six routers.
+    def test_in_a_burst_at_all_routers_only_keepers_draw(self):
+        """Sixty requests arrive at six routers at once.
 
-        If each router drew for itself, they would meet one another's writes of the
-        one object, and callers would wait for that.
+        If each router drew for itself, their writes to the shared object would
+        conflict, and callers would wait.
         """
 
-        async def course(fleet):
+        async def scenario(fleet):
             await start_all(fleet, 100_000)
             keys = [(HOSTS[n % 6], str(n)) for n in range(60)]
             served = await asyncio.gather(*(fleet.spend(*key, 1_000) for key in keys))
@@ -48,40 +48,40 @@
                 set(fleet.read().shares), {f"{k}.{HOSTS.index(k) + 1}" for k in KEEPERS}
             )
 
-        play(course)
+        run_scenario(scenario)
 
-    def test_a_killed_keeper_leaves_the_other_ones_half_in_reach(self):
-        """The router that keeps most of a total is killed, and stays away.
+    def test_the_other_keepers_tokens_are_available_after_a_kill(self):
+        """The keeper of most of a total is killed and doesn't return.
 
-        Callers of the others must find what the second keeper holds and what lies
-        free, before the loss is even noticed.
+        Requests at other routers must get the tokens of the second keeper and the
+        free ones even before the kill is noticed.
         """
 
-        async def course(fleet):
+        async def scenario(fleet):
             await start_all(fleet, 100_000)
             fleet.kill(KEEPERS[0])
             served = [await fleet.spend(OTHERS[0], str(n), 500) for n in range(20)]
             self.assertEqual(served, [True] * 20)
 
-        play(course)
+        run_scenario(scenario)
 
-    def test_with_both_keepers_gone_a_router_draws_for_itself(self):
-        async def course(fleet):
+    def test_a_router_draws_for_itself_after_both_keepers_are_killed(self):
+        async def scenario(fleet):
             await start_all(fleet, 100_000)
             for keeper in KEEPERS:
                 fleet.kill(keeper)
             self.assertTrue(await fleet.spend(OTHERS[0], "x", 500))
 
-        play(course)
+        run_scenario(scenario)
 
-    def test_datagrams_that_come_twice_give_nothing_twice(self):
+    def test_duplicate_datagrams_transfer_no_tokens_twice(self):
         """Every datagram between routers is delivered twice.
 
-        A gift that counted twice would be tokens that nobody paid for; an ask
-        answered twice would leave tokens lying at the asker.
+        A gift counted twice would be tokens that nobody paid for.  An ask answered
+        twice would leave unused tokens at the asking router.
         """
 
-        async def course(fleet):
+        async def scenario(fleet):
             fleet.copies = 2
             await start_all(fleet, 10_000)
             served = 0
@@ -90,10 +90,10 @@
             self.assertLessEqual(fleet.count_spent(), 10_000)
             self.assertGreaterEqual(served, 38)
 
-        play(course)
+        run_scenario(scenario)
 
-    def test_what_a_request_left_over_goes_back_to_a_keeper(self):
-        async def course(fleet):
+    def test_unused_tokens_of_a_request_return_to_a_keeper(self):
+        async def scenario(fleet):
             await start_all(fleet, 10_000)
             router = fleet.reservations[OTHERS[0]]
             await router.reserve(POUNDS, "x", 90, fleet.clock.now() + 1_000.0)
@@ -103,15 +103,15 @@
             self.assertEqual(router.wallet.purses[POUNDS].ready, 0)
             self.assertEqual(fleet.count_spent(), 10)
 
-        play(course)
+        run_scenario(scenario)
 
-    def test_an_exhausted_total_is_told_at_once_to_whoever_asks(self):
-        """A total is spent, and a caller comes to a router that keeps none of it.
+    def test_an_exhausted_total_causes_an_immediate_refusal(self):
+        """A total is spent, and a request arrives at a router that isn't a keeper.
 
-        Waiting for tokens that can't come would only keep the caller from knowing.
+        No tokens can become available, so a wait would only delay the refusal.
         """
 
-        async def course(fleet):
+        async def scenario(fleet):
             await start_all(fleet, 3_000)
             while await fleet.spend(KEEPERS[0], "x", 100):
                 pass
@@ -121,20 +121,20 @@
             refused = dict(fleet.journals[OTHERS[0]].lines)["budget_refused"]
             self.assertTrue(refused["certain"])
 
-        play(course)
+        run_scenario(scenario)
 
-    def test_a_prompt_waits_for_its_record_rather_than_be_refused(self):
-        """Prompts larger than what may be spent unrecorded come one after another.
+    def test_a_prompt_waits_for_a_record_and_is_not_refused(self):
+        """Each prompt costs more than a router may spend without a further record.
 
-        The store is there, so a record is a matter of milliseconds; the caller must
-        not be sent away for it.
+        The store is reachable, so a record takes milliseconds, and the request has to
+        wait for it rather than be refused.
         """
 
-        async def course(fleet):
+        async def scenario(fleet):
             await start_all(fleet, 100_000, seconds=25.0)
             before = fleet.clock.now()
             served = [await fleet.spend(OTHERS[0], str(n), 9_000) for n in range(4)]
             self.assertEqual(served, [True] * 4)
             self.assertLess(fleet.clock.now() - before, 4 * 250.0)
 
-        play(course, recording=True)
+        run_scenario(scenario, recording=True)
