--- a/anvilshift/gateway/allotting.py
+++ b/anvilshift/gateway/allotting.py
@@ -89,10 +89,10 @@
     )
     totals: Totals = field(default_factory=lambda: Totals(0))
     _wake: asyncio.Event = field(default_factory=asyncio.Event)
-    _round_ended: asyncio.Event = field(default_factory=asyncio.Event)
+    _update_event: asyncio.Event = field(default_factory=asyncio.Event)
     failing: bool = False
     ended: dict[str, dict[str, Spent]] = field(default_factory=dict)
-    rounds: int = 0
+    writes_ended: int = 0
     alone: bool = True
     found_at: Millis = -1e12
     _writes: int = 0
@@ -117,11 +117,11 @@
         """Trigger a check of the shares, because a request waits for tokens."""
         self._wake.set()
 
-    async def wait_round(self) -> None:
+    async def wait_for_update(self) -> None:
         """Wait until a write ends or tokens arrive from another router."""
-        await self._round_ended.wait()
+        await self._update_event.wait()
 
-    def find_age(self) -> Millis:
+    def find_shares_age(self) -> Millis:
         """Return the time since the shares were last read from the store."""
         return self.clock.now() - self._updated_at
 
@@ -131,7 +131,7 @@
 
     def is_exhausted(self, name: str, tokens: int) -> bool:
         """Tell whether a total is known to be too small for a number of tokens."""
-        recent = self.find_age() < _TOTALS_MAX_AGE
+        recent = self.find_shares_age() < _TOTALS_MAX_AGE
         return recent and self.wallet.is_exhausted(name, tokens)
 
     def note_ended(self, holder: str, spent: Mapping[str, int]) -> None:
@@ -164,7 +164,7 @@
                 self._note_failure(error)
                 await asyncio.sleep(_RETRY_PAUSE / SECOND)
             finally:
-                self.rounds += 1
+                self.writes_ended += 1
                 self.end_round()
             await asyncio.sleep(_MIN_WRITE_INTERVAL / SECOND)
 
@@ -202,14 +202,14 @@
         if self.ended.keys() & self.wallet.seen.list_holders():
             return True
         interval_over = (
-            self.rounds < _FIRST_WRITES
+            self.writes_ended < _FIRST_WRITES
             or now - self._updated_at >= _MIN_IDLE_WRITE_INTERVAL
         )
         return interval_over and self.wallet.wants_change(now)
 
     def end_round(self) -> None:
-        """Wake all callers of `wait_round`."""
-        done, self._round_ended = self._round_ended, asyncio.Event()
+        """Wake all callers of `wait_for_update`."""
+        done, self._update_event = self._update_event, asyncio.Event()
         done.set()
 
     def _note_failure(self, error: AnvilshiftError) -> None:
--- a/anvilshift/gateway/peers.py
+++ b/anvilshift/gateway/peers.py
@@ -13,16 +13,16 @@
 from anvilshift.gateway.journal import Journal
 from anvilshift.gateway.messages import Beat, Message, decode, encode, pack
 
-BEAT: Millis = 150.0
+MIN_BEAT_INTERVAL: Millis = 150.0
 """Heartbeat interval in a small fleet.  A lost router disappears from the address
 answers after four intervals, and with five routers heartbeats cost each router 27
 datagrams a second."""
-_MAX_BEAT: Millis = 600.0
+_MAX_BEAT_INTERVAL: Millis = 600.0
 SMALL_FLEET = 8
 """Largest fleet in which every router sends every message to all others.  In a larger
 fleet heartbeats are less frequent, and events at targets are sent only to the routers
 that need them; with 32 routers each would otherwise read 800 datagrams a second."""
-SILENT_BEATS = 4.3
+LOST_AFTER_BEATS = 4.3
 """Heartbeat intervals without a message after which a router counts as lost.  A caller
 gives a new connection to a frozen router one second.  With 3 % packet loss, three
 consecutive heartbeats are lost in one of 40,000 cases."""
@@ -46,15 +46,15 @@
 _ALL_DOMAINS: frozenset[str] = frozenset()
 
 
-def find_beat(routers: int) -> Millis:
+def find_beat_interval(routers: int) -> Millis:
     """Return the heartbeat interval of a router in a fleet of some size.
 
     Examples
     --------
-    >>> find_beat(4), find_beat(16), find_beat(2_000)
+    >>> find_beat_interval(4), find_beat_interval(16), find_beat_interval(2_000)
     (150.0, 300.0, 600.0)
     """
-    return min(_MAX_BEAT, BEAT * max(1.0, routers / SMALL_FLEET))
+    return min(_MAX_BEAT_INTERVAL, MIN_BEAT_INTERVAL * max(1.0, routers / SMALL_FLEET))
 
 
 @dataclass
@@ -230,7 +230,7 @@
 
     def _find_timeout(self) -> Millis:
         """Return the time without messages after which a router is lost."""
-        timeout = find_beat(len(self.addresses) + 1) * SILENT_BEATS
+        timeout = find_beat_interval(len(self.addresses) + 1) * LOST_AFTER_BEATS
         return timeout if self.small else timeout * _TIMEOUT_FACTOR_LARGE
 
     def list_present(self) -> list[Peer]:
@@ -272,7 +272,7 @@
         """Send heartbeats until cancelled."""
         while True:
             self.beat()
-            await asyncio.sleep(find_beat(len(self.routers) + 1) / SECOND)
+            await asyncio.sleep(find_beat_interval(len(self.routers) + 1) / SECOND)
 
     def close(self) -> None:
         """Close the socket."""
--- a/anvilshift/gateway/permits.py
+++ b/anvilshift/gateway/permits.py
@@ -72,7 +72,7 @@
     verdict: Verdict | None = None
     answered_event: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def take(self, verdict: Verdict) -> None:
+    def set_verdict(self, verdict: Verdict) -> None:
         """Store the issuer's answer, and end the wait if it is decisive."""
         self.verdict = verdict
         if self.first or verdict.state is not State.QUEUED:
@@ -207,7 +207,7 @@
         if self.clock.now() - pending.asked > 2 * _RENEWAL_INTERVAL:
             # This process was suspended, and the permit was for an earlier time.
             return
-        pending.take(Verdict(answer.run, State(answer.state), answer.wait))
+        pending.set_verdict(Verdict(answer.run, State(answer.state), answer.wait))
 
     # Requests of all routers, at the issuer
 
@@ -261,7 +261,7 @@
             return
         pending = self._pending.get(verdict.run)
         if pending is not None:
-            pending.take(verdict)
+            pending.set_verdict(verdict)
 
     def _serve(self, name: str) -> None:
         """Issue the permits that are due."""
--- a/anvilshift/gateway/recording.py
+++ b/anvilshift/gateway/recording.py
@@ -103,11 +103,11 @@
     failing: bool = False
     _wake: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def hurry(self) -> None:
+    def record_soon(self) -> None:
         """Trigger a record, because a request waits to spend."""
         self._wake.set()
 
-    def is_answered(self) -> bool:
+    def is_store_answering(self) -> bool:
         """Tell whether the last write succeeded and the pending one isn't overdue."""
         waited = (
             0.0
@@ -140,7 +140,7 @@
                 await self._write()
             except AnvilshiftError as error:
                 self._note_failure(error)
-                self.hurry()
+                self.record_soon()
                 pause = _RETRY_PAUSE
             self._write_begun_at = None
             self.records += 1
@@ -189,7 +189,7 @@
         except ConflictError:
             found = await self.store.get(KIND, self.node)
             self._version = found.version if found else 0
-            self.hurry()
+            self.record_soon()
             return
         self._note_success()
         self._unanswered = None
@@ -198,7 +198,7 @@
         if resent is not None:
             # The record dates from before an outage; no bound on its age can be
             # proved any more.
-            self.hurry()
+            self.record_soon()
         # This write is the change that follows the revision before its own.  After
         # the revision of the previous write, the next change may be another
         # router's and up to a period older, which would make the bound longer.
--- a/anvilshift/gateway/reserving.py
+++ b/anvilshift/gateway/reserving.py
@@ -112,7 +112,7 @@
 
     def _begin_search(self, keepers: Sequence[str]) -> TokenHunt:
         records = self.recorder.records if self.recorder else 0
-        return TokenHunt(keepers, self.allotter.rounds, records)
+        return TokenHunt(keepers, self.allotter.writes_ended, records)
 
     async def _wait(
         self, name: str, key: str, tokens: int, until: Millis, search: TokenHunt
@@ -180,7 +180,7 @@
         """Trigger a record, an ask or a draw, whichever may provide the tokens."""
         search, purse = self._searches[number], self.wallet.purses[name]
         if self.recorder and tokens <= purse.ready:
-            self.recorder.hurry()
+            self.recorder.record_soon()
         keeper = search.find_next(now)
         lacking = max(1, tokens - max(0, purse.available(now)))
         if keeper is not None and not self.ask(keeper, number, name, lacking):
@@ -201,12 +201,12 @@
         if not purse.draws(now):
             return True
         stale = self.allotter.failing or self.wallet.is_dry(name, now)
-        return stale or search.has_drawn(self.allotter.rounds)
+        return stale or search.has_drawn(self.allotter.writes_ended)
 
     def _may_record(self, search: TokenHunt) -> bool:
         """Tell whether a further record may allow the ready tokens to be spent."""
         recorder = self.recorder
-        if recorder is None or not recorder.is_answered():
+        if recorder is None or not recorder.is_store_answering():
             return False
         return not search.is_recorded(recorder.records)
 
@@ -221,7 +221,7 @@
         left = min(until - self.clock.now(), _MAX_STEP_WAIT, ANSWER_WITHIN)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(max(_MIN_WAIT, left) / SECOND):
-                await self.allotter.wait_round()
+                await self.allotter.wait_for_update()
 
     def _is_certain(self, name: str, tokens: int, search: TokenHunt) -> bool:
         if self.keepers.is_keeper(name):
@@ -261,7 +261,7 @@
             keeping=purse.keeping,
             certain=certain,
             wait=wait,
-            share_age=round(self.allotter.find_age()),
+            share_age=round(self.allotter.find_shares_age()),
         )
         if certain:
             return AnvilshiftError(BUDGET_EXHAUSTED)
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -3,7 +3,7 @@
 
 from anvilshift.core.clock import ManualClock
 from anvilshift.gateway.messages import Beat, Ended, Held, Sent, decode, encode
-from anvilshift.gateway.peers import Hooks, Peers, find_beat
+from anvilshift.gateway.peers import Hooks, Peers, find_beat_interval
 from tests.gateway.silent import SilentJournal
 
 DOMAINS = ("north", "south", "west")
@@ -100,7 +100,7 @@
         Other messages of a router also show that it is running.
         """
         self.hear(1)
-        silence = find_beat(2) * 4.3
+        silence = find_beat_interval(2) * 4.3
         self.clock.advance(silence - 1.0)
         self.peers.datagram_received(encode(Ended("r1/1", "e1")), ("10.0.0.1", 7000))
         self.clock.advance(silence - 1.0)
--- a/tests/gateway/test_permits.py
+++ b/tests/gateway/test_permits.py
@@ -227,9 +227,9 @@
     def test_an_organisation_with_few_requests_is_served(self):
         async def scenario(fleet):
             await self.announce_limit(fleet)
-            many = [fleet.nodes["r0"].call(9_000.0, "loud") for _ in range(12)]
-            few = [fleet.nodes["r1"].call(9_000.0, "quiet") for _ in range(2)]
-            answers = await asyncio.gather(*many, *few)
+            loud = [fleet.nodes["r0"].call(9_000.0, "loud") for _ in range(12)]
+            quiet = [fleet.nodes["r1"].call(9_000.0, "quiet") for _ in range(2)]
+            answers = await asyncio.gather(*loud, *quiet)
             return answers[-2:]
 
         self.assertEqual(run_scenario(scenario, 3), [True, True])
