--- a/anvilshift/router/claimed.py
+++ b/anvilshift/router/claimed.py
@@ -1,9 +1,10 @@
-"""Run claimed work apart from its callers' connections.
+"""Run claimed work independently of its callers' connections.
 
-A caller that loses its connection to an order must be able to learn what
-became of it by sending the key again.  So the work goes on to its end and its
-answer is recorded, whoever still listens; who repeats the key at this router
-meanwhile waits for the same answer.
+A caller that loses its connection must be able to learn the outcome of its
+non-idempotent request by repeating the idempotency key.  The work therefore runs to
+its end and its answer is recorded even when no caller is connected any more.  A
+request that repeats the key at this router in the meantime waits for the same
+answer.
 """
 
 import asyncio
@@ -25,9 +26,9 @@
 from anvilshift.router.claims import ClaimBook
 from anvilshift.router.requests import Job
 
-_RECORD_SLACK: Millis = 2_000.0
-"""How far past its deadline a caller may learn what became of its order: the
-work's own deadline ends first, then its record is written."""
+_RECORD_MARGIN: Millis = 2_000.0
+"""Time past its deadline for which a caller waits for the outcome: the work itself
+ends by the deadline, and its record is written after that."""
 
 
 @dataclass
@@ -37,7 +38,7 @@
 
 
 class ClaimedRuns:
-    """The claimed work that runs at this router."""
+    """Claimed work that runs at this router, by the identity of its job."""
 
     def __init__(self, book: ClaimBook, clock: Clock) -> None:
         self.book = book
@@ -46,11 +47,11 @@
 
     @property
     def in_flight(self) -> int:
-        """Return how much claimed work has no record of its end yet."""
+        """Return the number of claims that are running or have no recorded end."""
         return len(self._entries) + self.book.unrecorded
 
     def list_jobs(self) -> list[Job]:
-        """Return the jobs whose work has not ended."""
+        """Return the jobs whose work is still running."""
         return [entry.job for entry in self._entries.values()]
 
     def has(self, job: Job) -> bool:
@@ -59,26 +60,26 @@
         return entry is not None and entry.job.content == job.content
 
     async def run(self, job: Job, work: Callable[[], Awaitable[Answer]]) -> Answer:
-        """Return the answer of work that runs at most once under its key.
+        """Run work at most once for its idempotency key, and return its answer.
 
         Raises
         ------
         AnvilshiftError
-            A *not run* code only when the work provably never left.
+            With a *not run* code only when the work was provably never sent.
         """
         entry = self._entries.get(job.identity)
         if entry is None:
-            entry = self._begin(job, work)
+            entry = self._start(job, work)
         elif entry.job.content != job.content:
             raise AnvilshiftError(KEY_REUSED)
-        left = max(0.0, job.deadline - self._clock.now()) + _RECORD_SLACK
+        remaining = max(0.0, job.deadline - self._clock.now()) + _RECORD_MARGIN
         try:
-            async with asyncio.timeout(left / SECOND):
+            async with asyncio.timeout(remaining / SECOND):
                 return await asyncio.shield(entry.task)
         except TimeoutError as error:
             raise AnvilshiftError(ANSWER_LATE) from error
 
-    def _begin(self, job: Job, work: Callable[[], Awaitable[Answer]]) -> _Entry:
+    def _start(self, job: Job, work: Callable[[], Awaitable[Answer]]) -> _Entry:
         task = asyncio.get_running_loop().create_task(self._run_once(job, work))
         entry = _Entry(job, task)
         self._entries[job.identity] = entry
@@ -88,8 +89,8 @@
     def _finish(self, identity: str, task: asyncio.Task[Answer]) -> None:
         del self._entries[identity]
         if not task.cancelled():
-            # Read once, so that an error whose caller has left isn't reported
-            # as forgotten by the loop.
+            # Reading the exception keeps asyncio from logging "exception was never
+            # retrieved" when the caller has disconnected.
             task.exception()
 
     async def _run_once(
@@ -98,7 +99,7 @@
         claim = await self.book.take(job)
         if claim.state is ClaimState.DONE:
             if claim.answer is None:
-                raise AnvilshiftError(NOT_RECORDED, "it ran; its answer isn't kept")
+                raise AnvilshiftError(NOT_RECORDED, "it ran; its answer wasn't stored")
             return claim.answer
         try:
             answer = await work()
@@ -115,7 +116,7 @@
         except BaseException:
             self.book.record_later(job.identity, claim.lose())
             raise
-        # The work ran: whatever becomes of the record, the caller gets the
-        # answer, and the claim stays, so that nobody runs it again.
+        # The work ran.  The caller gets the answer even if the record fails, and the
+        # claim stays in place, so that no router runs the work again.
         await self.book.record(job.identity, claim.finish(answer))
         return answer
--- a/anvilshift/router/crashes.py
+++ b/anvilshift/router/crashes.py
@@ -1,9 +1,10 @@
-"""Exchange news of crashed targets with the other routers.
+"""Exchange reports of crashed targets with the other routers.
 
-A request that crashes what runs it comes back through another router within
-milliseconds, so news goes out at once, and then with every heartbeat for as
-long as the quarantine lasts: a router that was cut off when it was new must
-hear it once the cut has healed, or the same work costs a third target there.
+A caller repeats a request that crashed its target through another router within
+milliseconds, so a crash is reported at once.  It is then repeated with every
+heartbeat for as long as the quarantine lasts: a router that was partitioned when the
+target crashed must receive the report once it is connected again, or the same
+content crashes a third target there.
 """
 
 import asyncio
@@ -14,27 +15,29 @@
 from anvilshift.core.work import Announce
 from anvilshift.peers.generated.peers_pb2 import Crash
 
-_TOLD_FOR: Millis = FORGET_AFTER
+_SENT_FOR: Millis = FORGET_AFTER
 _REMEMBERED_FOR: Millis = 2 * FORGET_AFTER
-"""News heard again after the work was cleared must not blame it again, so it is
-remembered for longer than anybody tells it."""
+"""Received reports are remembered for longer than any router sends them, so that one
+that arrives again after its content was cleared does not blame the content again."""
 _RELAYED_FOR: Millis = 60 * SECOND
-"""Two routers may be cut off from each other while a third reaches both."""
-_MOST_TOLD = 50
-"""Crashes seen by this router, and as many by others, that a heartbeat carries:
-some 6 kB."""
-_GREETED_FOR: Millis = 10 * SECOND
-"""A newcomer's record is seen up to some seconds before it is first heard."""
-_MOST_MET = 10_000
+"""Time for which reports of other routers are passed on: two routers may be unable to
+reach each other while a third one reaches both."""
+_MAX_SENT = 50
+"""Maximum number of crashes seen by this router, and as many seen by others, that a
+heartbeat carries; together some 6 kB."""
+_NEWCOMER_FOR: Millis = 10 * SECOND
+"""Time for which all quarantined contents are sent after a new incarnation appeared.
+The record of a new router can be read some seconds before its first heartbeat."""
+_MAX_INCARNATIONS = 10_000
 
 
 class CrashNews:
-    """What this router tells and has heard of crashes.
+    """Crash reports that this router sends and has received.
 
     Parameters
     ----------
     take
-        Called with a content, a target and the news' age in milliseconds, once
+        Called with a content, a target and the report's age in milliseconds, once
         for the first crash of a target that a content is blamed for.
     beat
         Sends a heartbeat to every other router.
@@ -42,10 +45,10 @@
     Attributes
     ----------
     list_standing
-        Returns what is quarantined now.
+        Returns the crashes of the contents that are quarantined now.
     take_other
-        Called with news of a further crash of the same target, or of one at which
-        a content merely ran there.
+        Called with the report of a further crash of the same target, or of a crash
+        during which a content was running at the target without being blamed.
     """
 
     def __init__(
@@ -57,43 +60,45 @@
         self._clock = clock
         self._take = take
         self._beat = beat
-        self._told: dict[Announce, Millis] = {}
-        self._heard: dict[Announce, Millis] = {}
-        self._relayed: dict[Announce, Millis] = {}
-        self._met: set[str] = set()
-        self._greeted: Millis = -_GREETED_FOR
+        self._sent_at: dict[Announce, Millis] = {}
+        self._received_at: dict[Announce, Millis] = {}
+        self._relayed_at: dict[Announce, Millis] = {}
+        self._known_incarnations: set[str] = set()
+        self._newcomer_at: Millis = -_NEWCOMER_FOR
         self.list_standing: Callable[[], Iterable[Announce]] = tuple
         self.take_other: Callable[[Announce], None] = lambda news: None
-        self._beating: set[asyncio.Future[None]] = set()
+        self._heartbeat_tasks: set[asyncio.Future[None]] = set()
 
     def announce(self, news: Announce) -> None:
-        """Tell the other routers of a crash."""
-        self._told[news] = self._heard[news] = self._clock.now()
-        beating = asyncio.ensure_future(self._beat())
-        self._beating.add(beating)
-        beating.add_done_callback(self._beating.discard)
+        """Report a crash to the other routers at once."""
+        self._sent_at[news] = self._received_at[news] = self._clock.now()
+        task = asyncio.ensure_future(self._beat())
+        self._heartbeat_tasks.add(task)
+        task.add_done_callback(self._heartbeat_tasks.discard)
 
     def greet(self, incarnation: str) -> None:
-        """Take in a router's incarnation; to one that is new all is told again.
+        """Note a router's incarnation; after a new one, all crashes are sent again.
 
-        A router that was killed and started anew has forgotten what crashed
-        targets.  Only newcomers are told: routers that told one another for
-        ever would keep alive what each would forget alone.
+        A router that was killed and restarted no longer knows which contents crashed
+        targets.  The whole quarantine is sent only after a new incarnation appears:
+        if routers always sent it to each other, entries would never expire.
         """
-        if incarnation in self._met:
+        if incarnation in self._known_incarnations:
             return
-        if len(self._met) >= _MOST_MET:
-            self._met.clear()
-        self._met.add(incarnation)
-        self._greeted = self._clock.now()
+        if len(self._known_incarnations) >= _MAX_INCARNATIONS:
+            self._known_incarnations.clear()
+        self._known_incarnations.add(incarnation)
+        self._newcomer_at = self._clock.now()
 
     def list_told(self) -> list[Crash]:
-        """Return what the next heartbeat carries."""
+        """Return the crashes that the next heartbeat carries."""
         now = self._clock.now()
-        self._told = self._keep_recent(self._told, _TOLD_FOR, _MOST_TOLD)
-        self._relayed = self._keep_recent(self._relayed, _RELAYED_FOR, _MOST_TOLD)
-        ages = {n: now - at for n, at in (self._relayed | self._told).items()}
-        if now - self._greeted <= _GREETED_FOR:
+        self._sent_at = self._keep_recent(self._sent_at, _SENT_FOR, _MAX_SENT)
+        self._relayed_at = self._keep_recent(self._relayed_at, _RELAYED_FOR, _MAX_SENT)
+        ages = {
+            news: now - at for news, at in (self._relayed_at | self._sent_at).items()
+        }
+        if now - self._newcomer_at <= _NEWCOMER_FOR:
             ages = dict.fromkeys(self.list_standing(), 0.0) | ages
         return [
             Crash(
@@ -106,26 +111,26 @@
         ]
 
     def hear(self, crashes: Iterable[Crash]) -> None:
-        """Take in what a heartbeat carries."""
-        self._heard = self._keep_recent(self._heard, _REMEMBERED_FOR)
+        """Apply the crashes of a received heartbeat that are new here."""
+        self._received_at = self._keep_recent(self._received_at, _REMEMBERED_FOR)
         for item in crashes:
             news = Announce(item.content, item.target, item.further + 1)
-            if news not in self._heard:
-                self._heard[news] = self._clock.now()
-                self._relayed[news] = self._clock.now() - item.age_ms
+            if news not in self._received_at:
+                self._received_at[news] = self._clock.now()
+                self._relayed_at[news] = self._clock.now() - item.age_ms
                 if news.times == 1:
                     self._take(news.content, news.target, item.age_ms)
                 else:
                     self.take_other(news)
 
     def _keep_recent(
-        self, news: dict[Announce, Millis], span: Millis, most: int | None = None
+        self, news: dict[Announce, Millis], span: Millis, max_count: int | None = None
     ) -> dict[Announce, Millis]:
         now = self._clock.now()
         recent = {item: at for item, at in news.items() if now - at <= span}
-        if most is None or len(recent) <= most:
+        if max_count is None or len(recent) <= max_count:
             return recent
-        # What merely ran at a crash is told of in numbers, and must not push out
-        # the content that is blamed for it.
+        # One crash can bring reports of many contents that were merely running at the
+        # target.  They must not displace the content that is blamed for the crash.
         ranked = sorted(recent.items(), key=lambda item: (item[0].times > 0, item[1]))
-        return dict(ranked[-most:])
+        return dict(ranked[-max_count:])
--- a/anvilshift/router/departing.py
+++ b/anvilshift/router/departing.py
@@ -1,4 +1,8 @@
-"""Gather every sign that a target is leaving, and tell the dispatcher."""
+"""Detect targets that are leaving from several sources, and tell the dispatcher.
+
+The sources are the platform's list of hosts, the targets' own load reports, refused
+connections and the heartbeats of other routers.
+"""
 
 import asyncio
 import random
@@ -15,123 +19,133 @@
 from anvilshift.objects.store import HostEntry, ObjectStore
 
 _HOSTS_INTERVAL: Millis = 500.0
-_REFUSALS = 2
-"""One refused connection can be a full accept queue; two polls in a row, a
-quarter of a second apart, mean that nobody listens."""
-_ANSWERS_ON: Millis = 10 * SECOND
-"""Longer than an engine that shuts down goes on answering its polls."""
+_REFUSALS_TO_LEAVE = 2
+"""Consecutive refused polls after which a target counts as leaving.  One refusal can
+come from a full accept queue; two, a quarter of a second apart, mean that no process
+listens on the port."""
+_RESTORE_AFTER: Millis = 10 * SECOND
+"""Time after which a host that is missing from the list counts as present again if its
+target still answers polls.  An engine that shuts down stops answering sooner."""
 
 
 class Departing:
-    """The targets that are leaving, as this router knows.
+    """Targets that this router knows to be leaving.
 
     Parameters
     ----------
     tell
-        Called with a target and whether it is leaving, at each change.
+        Called at each change with a target and whether it is leaving.
     """
 
     def __init__(self, tell: Callable[[str, bool], None], clock: Clock) -> None:
-        self._tell = tell
+        self._report_change = tell
         self._clock = clock
         self._departures = Departures()
         self._hosts: dict[str, set[str]] = {}
         self._declared: frozenset[str] = frozenset()
         self._listed: set[str] = set()
-        self._vanished: dict[str, Millis] = {}
+        self._missing_since: dict[str, Millis] = {}
         self._refusals: Counter[str] = Counter()
 
     @property
     def leaving(self) -> frozenset[str]:
-        """Return the targets that get no new work."""
+        """Return the targets that must not get new work."""
         return self._departures.leaving
 
     @property
     def told(self) -> frozenset[str]:
-        """Return the targets that the other routers are told of."""
+        """Return the leaving targets that heartbeats name to the other routers."""
         return self._departures.told
 
     def configure(self, catalogue: Catalogue) -> None:
-        """Take in the hosts of the declared targets."""
+        """Apply the declared targets and their hosts."""
         self._hosts = {}
         for group in catalogue.groups.values():
             for engine in group.engines:
                 self._hosts.setdefault(engine.host_name, set()).add(engine.name)
-        # What is not declared is not polled, so nothing would take such a sign back.
+        # Targets that are no longer declared are not polled, so no later report could
+        # clear their marks.
         self._declared = frozenset().union(*self._hosts.values())
         kept = self._departures.keep_targets((REFUSED, REPORT), self._declared)
-        self._change(kept)
-        # A target that was declared anew is unknown to the dispatcher's list.
+        self._replace_departures(kept)
+        # The dispatcher doesn't know yet that a newly declared target is leaving.
         for target in self.leaving:
-            self._tell(target, True)
+            self._report_change(target, True)
 
     def take_hosts(self, entries: Iterable[HostEntry]) -> None:
-        """Take in the platform's list.
+        """Update the leaving targets from the platform's list of hosts.
 
-        A host that was on the list and is no more has gone; one that never
-        was on it says nothing.
+        A host that was on the list and is missing now counts as leaving.  A host
+        that has never been on the list does not.
         """
         hosts = {entry.name: entry.leaving for entry in entries}
-        gone = self._listed - set(hosts)
+        missing = self._listed - set(hosts)
         self._listed |= set(hosts)
         now = self._clock.now()
-        self._vanished = {host: self._vanished.get(host, now) for host in gone}
-        leaving = gone | {name for name, leaves in hosts.items() if leaves}
+        self._missing_since = {
+            host: self._missing_since.get(host, now) for host in missing
+        }
+        leaving = missing | {name for name, is_leaving in hosts.items() if is_leaving}
         targets = {t for host in leaving for t in self._hosts.get(host, ())}
-        self._change(self._departures.take(HOST_LIST, targets))
+        self._replace_departures(self._departures.take(HOST_LIST, targets))
 
     def take_report(self, report: LoadReport) -> None:
-        """Take in a target's own report: it answers, and may say that it leaves."""
+        """Update a target from its own report.
+
+        A report shows that the target answers, and tells whether it is leaving.
+        """
         self._refusals.pop(report.target, None)
         if report.target not in self._declared:
             return
         if not report.leaving:
-            self._check_vanished(report.target)
+            self._restore_missing_host(report.target)
         found = self._departures.mark(REFUSED, report.target, False)
-        self._change(found.mark(REPORT, report.target, report.leaving))
+        self._replace_departures(found.mark(REPORT, report.target, report.leaving))
 
-    def _check_vanished(self, target: str) -> None:
-        """Take a host for present that is off the list while its target answers on.
+    def _restore_missing_host(self, target: str) -> None:
+        """Treat a host missing from the list as present if its target still answers.
 
-        An entry can be lost, or be left out after a departure that was called off.
-        Were it taken for gone for good, each such case would cost a target until
-        none is left, and every call would be refused though all of them work.
+        The list can lose an entry, or omit a host whose departure was cancelled.  If
+        such a host counted as leaving for ever, each case would take one target out
+        of use until every call is refused although all targets work.
         """
         now = self._clock.now()
-        for host, since in self._vanished.items():
-            if now - since > _ANSWERS_ON and target in self._hosts.get(host, ()):
-                logging.warning("host off the list, engine=%s answers on", target)
+        for host, since in self._missing_since.items():
+            if now - since > _RESTORE_AFTER and target in self._hosts.get(host, ()):
+                logging.warning("host not listed but engine=%s still answers", target)
                 self._listed.discard(host)
 
     def take_refusal(self, target: str) -> None:
-        """Take in that a target refused a connection.
+        """Count a refused connection of a target.
 
-        A poll that was under way when its target went off the declarations says
-        nothing any more.
+        Targets that are not declared are ignored: a poll may have been in progress
+        when its declaration was removed.
         """
         if target not in self._declared:
             return
         self._refusals[target] += 1
-        if self._refusals[target] >= _REFUSALS:
-            self._change(self._departures.mark(REFUSED, target, True))
+        if self._refusals[target] >= _REFUSALS_TO_LEAVE:
+            self._replace_departures(self._departures.mark(REFUSED, target, True))
 
     def hear(self, router: str, targets: Iterable[str]) -> None:
-        """Take in what another router says."""
-        self._change(self._departures.take(f"router {router}", targets))
+        """Replace the targets that another router reports as leaving."""
+        self._replace_departures(self._departures.take(f"router {router}", targets))
 
     def keep_routers(self, routers: Iterable[str]) -> None:
-        """Forget what lost routers said."""
+        """Drop reports of routers that are not among the given ones."""
         sources = {f"router {name}" for name in routers}
-        self._change(self._departures.keep({HOST_LIST, REPORT, REFUSED} | sources))
+        self._replace_departures(
+            self._departures.keep({HOST_LIST, REPORT, REFUSED} | sources)
+        )
 
-    def _change(self, new: Departures) -> None:
+    def _replace_departures(self, new: Departures) -> None:
         old, self._departures = self._departures.leaving, new
         for target in sorted(new.leaving - old):
             logging.info("target leaving engine=%s", target)
-            self._tell(target, True)
+            self._report_change(target, True)
         for target in sorted(old - new.leaving):
-            logging.info("target back engine=%s", target)
-            self._tell(target, False)
+            logging.info("target no longer leaving engine=%s", target)
+            self._report_change(target, False)
 
     async def follow(
         self,
@@ -139,17 +153,18 @@
         routers: Callable[[], set[str]],
         rng: random.Random,
     ) -> None:
-        """Read the platform's list again and again.
+        """Read the platform's list of hosts periodically, from a random offset on.
 
-        Routers that started together would all read it at the same instants: an
-        entry that stands between two of these, just before an outage, would be
-        seen by none and the leaving target be sent to for as long as it lasts.
+        Without the offset, routers that start together would read the list at the
+        same instants.  An entry that exists only between two of these instants, just
+        before an outage, would be missed by all routers, and they would send work to
+        the leaving target for as long as the outage lasts.
         """
         await asyncio.sleep(rng.uniform(0.0, _HOSTS_INTERVAL) / SECOND)
         while True:
             try:
                 self.take_hosts(await store.hosts())
             except AnvilshiftError as error:
-                logging.debug("no host list code=%d", error.code.number)
+                logging.debug("host list not read code=%d", error.code.number)
             self.keep_routers(routers())
             await asyncio.sleep(_HOSTS_INTERVAL / SECOND)
--- a/anvilshift/router/fleet.py
+++ b/anvilshift/router/fleet.py
@@ -1,4 +1,8 @@
-"""Take part in the fleet: renew the own record, beat to others, remove the lost."""
+"""Membership of one router in the fleet.
+
+The router renews its record in the platform, exchanges heartbeats with the other
+routers, and removes the records of lost ones.
+"""
 
 import asyncio
 import contextlib
@@ -40,14 +44,14 @@
 from anvilshift.router.witnesses import Witnesses
 
 _RENEWALS_PER_LEASE = 4
-_ACKNOWLEDGE_SPACING: Millis = 200.0
-"""Least time between two writes of the record: a burst of declarations is
-acknowledged together, at most five writes a second."""
-_HEARD_WITHIN = 2
-"""Heartbeats within which a router that is in touch is heard."""
+_MIN_WRITE_INTERVAL: Millis = 200.0
+"""Minimum time between two writes of the router's record.  Declarations that change in
+a burst are acknowledged together, with at most five writes per second."""
+_PARTITIONED_AFTER = 2
+"""Heartbeat intervals after which a router that was not heard counts as partitioned."""
 
 
-def _ignore_newcomer(incarnation: str) -> None:
+def _ignore_incarnation(incarnation: str) -> None:
     return None
 
 
@@ -57,16 +61,17 @@
 
 
 class Fleet:
-    """One router's part in the fleet.
+    """Membership of one router in the fleet.
 
     Parameters
     ----------
     member
-        This router, as the others shall know it.
+        Record of this router that the other routers read.
     in_flight
-        Tells how many requests this router has in flight.
+        Returns the number of requests in flight at this router.
     direct
-        The own way to the platform, for calls made for other routers.
+        This router's direct connection to the platform, for calls made on behalf of
+        other routers.
     """
 
     def __init__(
@@ -84,13 +89,13 @@
         self.member = member
         self.roster = Roster(lease)
         self.lease = Lease(lease)
-        self.must_hold = 0
-        """Revision that must be in force here before new work is taken."""
+        self.required_revision = 0
+        """Revision that must be in force here before this router takes new work."""
         self.tell_targets: Callable[[], Iterable[str]] = tuple
-        self.hear_targets: Callable[[str, Iterable[str]], None] = lambda r, t: None
+        self.hear_targets: Callable[[str, Iterable[str]], None] = lambda _, __: None
         self.tell_crashes: Callable[[], Iterable[Crash]] = tuple
-        self.greet: Callable[[str], None] = _ignore_newcomer
-        self.hear_crashes: Callable[[Iterable[Crash]], None] = lambda c: None
+        self.greet: Callable[[str], None] = _ignore_incarnation
+        self.hear_crashes: Callable[[Iterable[Crash]], None] = lambda crashes: None
         self.at_roster: Callable[[], None] = lambda: None
         self.at_beat: Callable[[], None] = lambda: None
         self.relocate: Callable[[RelocateRequest], RelocateReply]
@@ -106,8 +111,8 @@
         self._in_flight = in_flight
         self._sealed: set[str] = set()
         self._beats: dict[str, asyncio.Task[None]] = {}
-        self._listed = asyncio.Event()
-        self._renew_now = asyncio.Event()
+        self._declarations_listed = asyncio.Event()
+        self._renewal_requested = asyncio.Event()
         self.tasks: list[asyncio.Task[None]] = []
         self.witnesses = Witnesses(link, clock, member, lambda: self.roster)
         treasury.keep_copies = self.witnesses.keep_copies
@@ -116,44 +121,53 @@
         treasury.hooks.choose_witness = self.witnesses.choose
 
     def start(self) -> None:
-        """Begin to beat and renew."""
+        """Start to send heartbeats and to renew the record."""
         loop = asyncio.get_running_loop()
-        for work in (self._keep_renewing(), self._keep_beating()):
+        for work in (self._keep_renewing(), self._keep_sending_heartbeats()):
             self.tasks.append(loop.create_task(work))
 
     def may_serve(self) -> bool:
         """Tell whether this router may take new work.
 
-        Its lease holds, or the platform is out for all.  A router whose record
-        was gone may have missed what was accepted without it, so it first
-        holds what was stored when its record came back.
+        Its lease must be valid, unless the platform is unreachable for all routers.
+        While the router's record was missing, declarations may have been accepted
+        without it.  It must therefore first have in force the revision at which its
+        record was created again.
         """
         seen, now = self.read_seen(), self._clock.now()
         leased = self.lease.may_serve(self.roster, seen, now)
-        return leased and self.read_revision() >= self.must_hold
+        return leased and self.read_revision() >= self.required_revision
 
     def is_partitioned(self) -> bool:
-        """Tell whether some router of the fleet has not been heard lately."""
-        span, now = _HEARD_WITHIN * self._heartbeat, self._clock.now()
+        """Tell whether some router of the fleet has not been heard recently."""
+        span, now = _PARTITIONED_AFTER * self._heartbeat, self._clock.now()
         sightings = self.roster.sightings.values()
-        return any(s.heard is None or now - s.heard > span for s in sightings)
+        return any(
+            sighting.heard is None or now - sighting.heard > span
+            for sighting in sightings
+        )
 
     def find_common_revision(self) -> int:
-        """Return the revision that every router known here has in force."""
+        """Return the newest revision that all known routers have in force."""
         sightings = self.roster.sightings.values()
-        return min([self.member.revision, *(s.member.revision for s in sightings)])
+        return min(
+            [
+                self.member.revision,
+                *(sighting.member.revision for sighting in sightings),
+            ]
+        )
 
     def acknowledge(self, revision: int) -> None:
-        """State that declarations of a revision are in force here."""
-        if not self._listed.is_set():
+        """Publish that the declarations up to a revision are in force here."""
+        if not self._declarations_listed.is_set():
             self.member = replace(self.member, since=revision)
-            self._listed.set()
+            self._declarations_listed.set()
         if revision > self.member.revision:
             self.member = replace(self.member, revision=revision)
-            self._renew_now.set()
+            self._renewal_requested.set()
 
     def take_router(self, name: str, body: Body | None) -> None:
-        """Take in a router's record."""
+        """Add another router's record to the roster, or remove it if it is None."""
         if name == self.member.name:
             return
         if body is None:
@@ -163,7 +177,7 @@
         try:
             member = decode(Member, body)
         except AnvilshiftError as error:
-            # One record that can't be read must not end the watch of all.
+            # One unreadable record must not stop the watch of all other records.
             logging.error("router record unreadable name=%s %s", name, error)
             return
         self.roster = self.roster.record(member, self._clock.now())
@@ -171,14 +185,14 @@
         self.greet(member.incarnation)
 
     async def leave(self) -> None:
-        """Tell everyone that this router is leaving."""
+        """Tell all other routers that this one is leaving."""
         self.member = replace(self.member, leaving=True)
-        if self._listed.is_set():
+        if self._declarations_listed.is_set():
             await self._renew()
         await self.beat_all()
 
     async def close(self) -> None:
-        """Take the own record away and stop."""
+        """Stop all tasks and delete this router's record."""
         tasks = [*self.tasks, *self._beats.values()]
         for task in tasks:
             task.cancel()
@@ -190,19 +204,19 @@
         self._link.close()
 
     async def _keep_renewing(self) -> None:
-        # A router joins once it has listed the declarations: before that it
-        # could only hold up their acceptance.
-        await self._listed.wait()
+        # A router joins the fleet only when it has listed the declarations, because
+        # until then it would only delay the acceptance of new ones.
+        await self._declarations_listed.wait()
         pause = self.roster.lease / _RENEWALS_PER_LEASE
-        spacing = min(_ACKNOWLEDGE_SPACING, pause)
+        min_interval = min(_MIN_WRITE_INTERVAL, pause)
         while True:
-            self._renew_now.clear()
+            self._renewal_requested.clear()
             await self._renew()
             await self._remove_lost()
-            await asyncio.sleep(spacing / SECOND)
+            await asyncio.sleep(min_interval / SECOND)
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout((pause - spacing) / SECOND):
-                    await self._renew_now.wait()
+                async with asyncio.timeout((pause - min_interval) / SECOND):
+                    await self._renewal_requested.wait()
 
     async def _renew(self) -> None:
         revision = max(self.member.revision, self.read_revision())
@@ -215,8 +229,10 @@
 
         def change(old: Body | None) -> Body:
             nonlocal absent
-            own = old is not None and old.get("incarnation") == self.member.incarnation
-            absent = absent or not own
+            is_own = (
+                old is not None and old.get("incarnation") == self.member.incarnation
+            )
+            absent = absent or not is_own
             return body
 
         self.lease.begin(self._clock.now())
@@ -227,7 +243,7 @@
             logging.warning("renewal failed code=%d", error.code.number)
             return
         if absent:
-            self.must_hold = max(self.must_hold, stored.version)
+            self.required_revision = max(self.required_revision, stored.version)
         self.lease.succeed(self._clock.now())
 
     async def _remove_lost(self) -> None:
@@ -270,7 +286,9 @@
         self.roster = self.roster.remove(member.name)
 
     def _list_incarnations(self) -> set[str]:
-        return {s.member.incarnation for s in self.roster.sightings.values()}
+        return {
+            sighting.member.incarnation for sighting in self.roster.sightings.values()
+        }
 
     def _make_heartbeat(self) -> Heartbeat:
         vitals = Vitals(
@@ -288,15 +306,15 @@
         return self.lease.holds(self._clock.now())
 
     def list_relays(self) -> list[str]:
-        """Return the peer addresses of routers that reach the platform."""
+        """Return the peer addresses of routers that can relay calls to the platform."""
         present = self.roster.present(self._clock.now())
         return [
-            s.member.peer_address
-            for s in present
-            if s.vitals.reaches_platform and s.heard is not None
+            sighting.member.peer_address
+            for sighting in present
+            if sighting.vitals.reaches_platform and sighting.heard is not None
         ]
 
-    def _hear(self, beat: Heartbeat) -> None:
+    def _apply_heartbeat(self, beat: Heartbeat) -> None:
         self.roster = self.roster.hear(
             read_member(beat), read_vitals(beat), self._clock.now()
         )
@@ -305,72 +323,85 @@
         self.greet(beat.incarnation)
         self.hear_crashes(beat.crashes)
 
-    async def _keep_beating(self) -> None:
-        # Each peer has its own beat: a peer that does not answer must not make
-        # this router look lost to the others.
+    async def _keep_sending_heartbeats(self) -> None:
+        # Each peer gets heartbeats from a task of its own, so that a peer that does
+        # not answer can't delay those to the others, which would take this router
+        # for lost.
         while True:
             self.may_serve()
             self.at_beat()
-            running = {a: t for a, t in self._beats.items() if not t.done()}
+            running = {
+                address: task
+                for address, task in self._beats.items()
+                if not task.done()
+            }
             self._beats = running
-            for address in self._peer_addresses():
+            for address in self._list_addresses():
                 if address not in running:
-                    beat = asyncio.create_task(self._beat_one(address))
+                    beat = asyncio.create_task(self._exchange_heartbeat(address))
                     beat.add_done_callback(_log_failure)
                     running[address] = beat
             await asyncio.sleep(self._heartbeat / SECOND)
 
     async def beat_all(self) -> None:
         """Send a heartbeat to every other router now."""
-        addresses = self._present_addresses()
-        await asyncio.gather(*(self._beat_one(address) for address in addresses))
+        addresses = self._list_present_addresses()
+        await asyncio.gather(
+            *(self._exchange_heartbeat(address) for address in addresses)
+        )
 
-    def _peer_addresses(self) -> list[str]:
-        return [s.member.peer_address for s in self.roster.sightings.values()]
+    def _list_addresses(self) -> list[str]:
+        return [
+            sighting.member.peer_address for sighting in self.roster.sightings.values()
+        ]
 
-    def _present_addresses(self) -> list[str]:
-        # A lost router would cost each caller of these the whole timeout.
+    def _list_present_addresses(self) -> list[str]:
+        # Lost routers are left out, because each call to one waits for the timeout.
         present = self.roster.present(self._clock.now())
         return [sighting.member.peer_address for sighting in present]
 
-    async def _beat_one(self, address: str) -> None:
+    async def _exchange_heartbeat(self, address: str) -> None:
         with contextlib.suppress(PeerError):
-            self._hear(await self._link.beat(address, self._make_heartbeat()))
+            self._apply_heartbeat(
+                await self._link.beat(address, self._make_heartbeat())
+            )
 
     async def ask_peers(self, account: str) -> None:
-        """Ask the other routers to give unused tokens of a budget back."""
+        """Ask the other routers to return unused tokens of a budget to the ledger."""
         request = GiveBackRequest(account=account)
-        addresses = self._present_addresses()
-        await asyncio.gather(*(self._ask_one(a, request) for a in addresses))
+        addresses = self._list_present_addresses()
+        await asyncio.gather(
+            *(self._ask_peer(address, request) for address in addresses)
+        )
 
-    async def _ask_one(self, address: str, request: GiveBackRequest) -> None:
+    async def _ask_peer(self, address: str, request: GiveBackRequest) -> None:
         with contextlib.suppress(PeerError):
             await self._link.give_back(address, request)
 
     async def take_beat(self, beat: Heartbeat) -> Heartbeat:
-        """Take in a heartbeat and return the own."""
-        self._hear(beat)
+        """Apply another router's heartbeat and reply with this router's."""
+        self._apply_heartbeat(beat)
         return self._make_heartbeat()
 
     async def take_copies(self, request: KeepRequest) -> KeepReply:
-        """Keep copies of another router's bills."""
+        """Store copies of another router's bills, and tell whether they were kept."""
         bills = read_bills(request, self._clock.wall())
         kept = self._treasury.copies.add(request.holder, bills, request.witness)
         return KeepReply(kept=kept)
 
     async def take_give_back(self, request: GiveBackRequest) -> GiveBackReply:
-        """Give unused tokens of a budget back to the platform."""
+        """Return unused tokens of a budget to the ledger."""
         await self._treasury.give_back(request.account)
         return GiveBackReply()
 
     async def take_permit(self, request: PermitRequest) -> PermitReply:
-        """Issue a permit for a target that has named a limit."""
+        """Issue a permit for a target that has announced a rate limit."""
         return await self.issue_permit(request)
 
     async def take_relocate(self, request: RelocateRequest) -> RelocateReply:
-        """Take part in sending a content elsewhere than to its homes."""
+        """Handle one step of relocating a content to a target that isn't its home."""
         return self.relocate(request)
 
     async def take_call_store(self, request: StoreRequest) -> StoreReply:
-        """Make a call of the platform for another router, on the own way only."""
+        """Call the platform for another router, only over the direct connection."""
         return await call_store(self._direct, request)
--- a/anvilshift/router/following.py
+++ b/anvilshift/router/following.py
@@ -1,4 +1,4 @@
-"""Follow the platform's declarations and router records by watch."""
+"""Follow declarations and router records with a watch on the platform."""
 
 import asyncio
 import random
@@ -15,23 +15,24 @@
 
 ROUTER_KIND = "Router"
 _WATCHED = (*KINDS, ROUTER_KIND)
-_WAIT: Millis = 20 * SECOND
-_SPACING: Millis = 250.0
-"""Time from an answer of the watch that brought only renewals to the next call.
-Each renewal of each router answers every router's watch, so that without a pause
-the platform's calls grow with the square of the fleet; a change may take 4 s to be
-in force."""
+_WATCH_TIMEOUT: Millis = 20 * SECOND
+_RENEWAL_PAUSE: Millis = 250.0
+"""Pause between an answer of the watch that has only renewals and the next call.  Each
+renewal by one router answers the watch of every router.  Without a pause, the number
+of calls to the platform would grow with the square of the number of routers.  A change
+may take up to 4 s to come into force."""
 
 
 class Follower:
-    """Keep a catalogue at the platform's newest revision.
+    """Keep a catalogue of declarations up to date with the platform.
 
     Parameters
     ----------
     take_catalogue
         Called with each new catalogue.
     take_router
-        Called with a router record's name and body, None when it is gone.
+        Called with the name and body of a changed router record; the body is None
+        when the record was deleted.
     """
 
     def __init__(
@@ -50,26 +51,27 @@
         self._routers: set[str] = set()
         self._unreadable: dict[tuple[str, str], int] = {}
         self._revision = 0
-        self._news = False
+        self._has_news = False
         self.current = asyncio.Event()
 
     @property
     def seen(self) -> int:
-        """Return the revision up to which everything was taken in."""
+        """Return the newest revision that was received from the platform."""
         return self._revision
 
     @property
     def acknowledged(self) -> int:
         """Return the revision up to which every declaration is in force here.
 
-        A declaration that can't be read is not in force, so nothing from it on
-        is acknowledged; operators see which router they wait for.
+        A declaration that can't be read is not in force, so its revision and all
+        later ones are not acknowledged.  Operators then see which router delays the
+        acceptance of a change.
         """
         oldest = min(self._unreadable.values(), default=self._revision + 1)
         return min(self._revision, oldest - 1)
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the platform until cancelled; list anew when the watch is too old."""
         failures = 0
         listed = False
         while True:
@@ -79,8 +81,8 @@
                     listed = True
                 listed = await self._watch()
                 failures = 0
-                if not self._news:
-                    await asyncio.sleep(_SPACING / SECOND)
+                if not self._has_news:
+                    await asyncio.sleep(_RENEWAL_PAUSE / SECOND)
             except AnvilshiftError as error:
                 logging.warning("watch failed code=%d", error.code.number)
                 pause = self._backoff.draw(failures, self._rng)
@@ -89,10 +91,10 @@
 
     async def _list(self) -> None:
         listing = await self._store.list(_WATCHED)
-        # A platform that answers from an old copy must not take back what was
-        # accepted: versions never go back.
+        # Revisions only grow.  A platform that answers from an outdated replica must
+        # not revert declarations that were accepted.
         if listing.revision < self._revision:
-            raise AnvilshiftError(PLATFORM_GARBAGE, "the listing is an old copy")
+            raise AnvilshiftError(PLATFORM_GARBAGE, "the listing is outdated")
         old, self._declarations = self._declarations, {}
         self._unreadable = {}
         seen = set()
@@ -101,7 +103,7 @@
                 seen.add(item.name)
                 self._take_router(item.name, item.body)
                 continue
-            self._put(item, item.body, old)
+            self._read_declaration(item, item.body, old)
         for name in self._routers - seen:
             self._take_router(name, None)
         self._routers = seen
@@ -110,11 +112,11 @@
         self.current.set()
 
     async def _watch(self) -> bool:
-        """Take in one answer of the watch; False when it is too old."""
-        changes = await self._store.watch(_WATCHED, self._revision, _WAIT)
+        """Apply one answer of the watch; False when the revision is too old for it."""
+        changes = await self._store.watch(_WATCHED, self._revision, _WATCH_TIMEOUT)
         if changes.too_old:
             return False
-        self._news = any(self._is_news(change) for change in changes.changes)
+        self._has_news = any(self._is_news(change) for change in changes.changes)
         declared = [self._apply(change) for change in changes.changes]
         self._revision = max(self._revision, changes.revision)
         if any(declared):
@@ -128,7 +130,7 @@
         return change.body is None or change.name not in self._routers
 
     def _apply(self, change: Change) -> bool:
-        """Take in a change; tell whether it was one of a declaration."""
+        """Apply a change; tell whether it changed a declaration."""
         if change.version <= self._revision:
             return False
         if change.kind == ROUTER_KIND:
@@ -139,10 +141,10 @@
             self._declarations.pop((change.kind, change.name), None)
             self._unreadable.pop((change.kind, change.name), None)
         else:
-            self._put(change, change.body, self._declarations)
+            self._read_declaration(change, change.body, self._declarations)
         return True
 
-    def _put(
+    def _read_declaration(
         self,
         item: Stored | Change,
         body: Body,
@@ -154,8 +156,8 @@
             self._declarations[key] = parse_declaration(body, where)
             self._unreadable.pop(key, None)
         except AnvilshiftError as error:
-            # A declaration that this version can't read keeps its last
-            # readable state instead of vanishing from under its callers.
+            # A declaration that this version can't read keeps its last readable
+            # state, so that requests that depend on it don't fail.
             logging.error("declaration unreadable %s", error)
             self._unreadable.setdefault(key, item.version)
             if key in old:
--- a/anvilshift/router/quarantined.py
+++ b/anvilshift/router/quarantined.py
@@ -1,8 +1,8 @@
-"""Keep in the platform which contents cost all the targets that they may.
+"""Store in the platform which contents are quarantined, and the targets they crashed.
 
-What routers know of a poison ends with them.  When all of them are replaced within
-seconds, by a loss of power or a hasty release, the same request would cost the fleet
-further targets, so what was lost to it outlasts them where everything lasting does.
+Routers keep this knowledge in memory only.  If all of them are replaced within
+seconds, by a power failure or a fast rollout, the same request would crash further
+targets.  The records in the platform survive that.
 """
 
 import asyncio
@@ -24,25 +24,25 @@
 
 @dataclass(frozen=True)
 class QuarantineRecord:
-    """A content and the targets that it crashed.
+    """A quarantined content and the targets that it crashed.
 
     Parameters
     ----------
     at
-        Wall-clock seconds when the last of them was lost.
+        Wall-clock second of the last of these crashes.
     """
 
     content: str
     targets: tuple[str, ...]
     at: int
 
-    def is_over(self, now: int) -> bool:
-        """Tell whether the record says nothing any more at a wall-clock second."""
+    def is_expired(self, now: int) -> bool:
+        """Tell whether the record has expired at a wall-clock second."""
         return now - self.at > FORGET_AFTER / SECOND
 
 
 class QuarantineRecords:
-    """Records of quarantined contents."""
+    """Reads and writes the records of quarantined contents."""
 
     def __init__(self, store: ObjectStore, clock: Clock) -> None:
         self._store = store
@@ -51,9 +51,13 @@
         self._written: dict[str, QuarantineRecord] = {}
 
     def add(self, content: str, targets: Iterable[str]) -> None:
-        """Record in the background that a content cost these targets."""
+        """Record in the background that a content crashed these targets."""
         now = self._clock.wall()
-        self._written = {c: r for c, r in self._written.items() if not r.is_over(now)}
+        self._written = {
+            content: record
+            for content, record in self._written.items()
+            if not record.is_expired(now)
+        }
         if content in self._written:
             return
         record = QuarantineRecord(content, tuple(targets), now)
@@ -65,16 +69,16 @@
 
     async def _write(self, record: QuarantineRecord) -> None:
         name, body = record.content, encode(record)
-        while not record.is_over(self._clock.wall()):
+        while not record.is_expired(self._clock.wall()):
             try:
-                await update(self._store, QUARANTINE_KIND, name, lambda old: body)
+                await update(self._store, QUARANTINE_KIND, name, lambda _: body)
                 return
             except AnvilshiftError as error:
                 logging.warning("quarantine not recorded code=%d", error.code.number)
                 await asyncio.sleep(_RETRY_PAUSE / SECOND)
 
     async def read(self) -> list[Announce]:
-        """Return what is recorded; records that are over are deleted.
+        """Return the recorded crashes, and delete the records that have expired.
 
         Raises
         ------
@@ -84,16 +88,16 @@
         listing = await self._store.list([QUARANTINE_KIND])
         found: list[Announce] = []
         for item in listing.items:
-            record = self._read_one(item)
+            record = self._decode_record(item)
             if record is None:
                 continue
-            if record.is_over(self._clock.wall()):
+            if record.is_expired(self._clock.wall()):
                 await self._delete(item)
                 continue
             found += [Announce(record.content, target) for target in record.targets]
         return found
 
-    def _read_one(self, item: Stored) -> QuarantineRecord | None:
+    def _decode_record(self, item: Stored) -> QuarantineRecord | None:
         try:
             return decode(QuarantineRecord, item.body)
         except AnvilshiftError as error:
@@ -104,10 +108,11 @@
         try:
             await self._store.delete(QUARANTINE_KIND, item.name, item.version)
         except AnvilshiftError as error:
-            # Another router that starts deletes it as well, or the next one will.
+            # Another router may have deleted it; otherwise the next router that
+            # starts will.
             logging.info("quarantine not deleted code=%d", error.code.number)
 
     def close(self) -> None:
-        """Stop every write."""
+        """Cancel the writes that are in progress."""
         for task in self._tasks:
             task.cancel()
--- a/anvilshift/router/relayed.py
+++ b/anvilshift/router/relayed.py
@@ -1,4 +1,4 @@
-"""Reach the platform through another router while the own way to it is cut."""
+"""Call the platform through another router while the direct connection fails."""
 
 import asyncio
 import json
@@ -35,24 +35,25 @@
 Result = TypeVar("Result")
 _PROBE_INTERVAL: Millis = 500.0
 _WATCH_WAIT: Millis = 2 * SECOND
-"""Short, so that a peer that is cut off in its turn is found out soon."""
-_PEERS_TRIED = 2
+"""Maximum wait of a watch through a peer.  It is short, so that a peer that loses its
+own connection to the platform is detected soon."""
+_MAX_PEERS = 2
 _WRITES = ("put", "delete")
 
 
 class RelayedStore:
     """Call the platform directly, or through a peer that reaches it.
 
-    A call takes one hop at most: the peer makes it on its own direct store.  A
-    write that may have taken effect is never sent again by another way: it
-    fails as uncertain, and `update` reads the object before it writes again.
+    A call is relayed at most once: the peer uses its own direct store.  A write that
+    may have taken effect is never sent again over another route.  It fails as
+    uncertain, and `update` reads the object before it writes again.
 
     Parameters
     ----------
     direct
-        The own way to the platform.
+        Direct connection to the platform.
     peers
-        Returns the peer addresses of the routers that reach the platform.
+        Returns the peer addresses of other routers that reach the platform.
     """
 
     def __init__(
@@ -66,7 +67,7 @@
         self._link = link
         self._clock = clock
         self._peers = peers
-        self._cut = asyncio.Event()
+        self._direct_failed = asyncio.Event()
         self._probe: asyncio.Task[None] | None = None
         self.reaches_platform = False
 
@@ -122,7 +123,7 @@
         return value if isinstance(value, Changes) else decode(Changes, value)
 
     async def hosts(self) -> tuple[HostEntry, ...]:
-        """Return the lagging list of hosts."""
+        """Return the platform's list of hosts, which lags behind their state."""
         value = await self._run(self._direct.hosts, StoreRequest(method="hosts"))
         if isinstance(value, tuple):
             return value
@@ -131,40 +132,40 @@
     async def _watch_direct(
         self, kinds: Sequence[str], after: int, wait: Millis
     ) -> Changes:
-        """Watch until another call finds the way to the platform cut.
+        """Watch directly until another call finds that the direct connection fails.
 
-        A watch on a connection that went silent would otherwise wait out its
-        whole time while a change comes into force everywhere else.
+        Otherwise a watch on a connection that stopped responding would wait until
+        its timeout, while a change comes into force at all other routers.
         """
         watching = asyncio.ensure_future(self._direct.watch(kinds, after, wait))
-        cut = asyncio.ensure_future(self._cut.wait())
+        failed = asyncio.ensure_future(self._direct_failed.wait())
         try:
-            await asyncio.wait([watching, cut], return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait([watching, failed], return_when=asyncio.FIRST_COMPLETED)
             if watching.done():
                 return watching.result()
         finally:
-            cut.cancel()
+            failed.cancel()
             watching.cancel()
-        raise AnvilshiftError(PLATFORM_DOWN, "the way to the platform was cut")
+        raise AnvilshiftError(PLATFORM_DOWN, "the direct connection failed")
 
     async def _run(
         self,
         call: Callable[[], Coroutine[Any, Any, Result]],
         request: StoreRequest,
     ) -> Any:
-        """Return what the direct call returned, or a peer's answer as JSON."""
-        if not self._cut.is_set():
+        """Return the result of the direct call, or a peer's answer as JSON."""
+        if not self._direct_failed.is_set():
             try:
                 return await self._call_direct(call)
             except AnvilshiftError as error:
-                if not _is_unreached(error):
+                if not _may_reroute(error):
                     raise
-            return await self._ask_peers(request)
+            return await self._call_peers(request)
         try:
-            return await self._ask_peers(request)
+            return await self._call_peers(request)
         except AnvilshiftError as error:
-            # Only a call that provably had no effect is made again.
-            if not _is_unreached(error):
+            # Only a call that provably had no effect is repeated.
+            if not _may_reroute(error):
                 raise
         return await self._call_direct(call)
 
@@ -174,51 +175,55 @@
         try:
             result = await call()
         except AnvilshiftError as error:
-            # A platform whose rate is used up is reached; peers are no way round.
+            # A call that exceeded the rate limit did reach the platform, and a relay
+            # must not be used to evade the limit.
             if error.code is PLATFORM_DOWN and not isinstance(error, RateLimitedError):
-                self._mark_cut()
+                self._mark_direct_failed()
             raise
         self.reaches_platform = True
         return result
 
-    def _mark_cut(self) -> None:
+    def _mark_direct_failed(self) -> None:
         self.reaches_platform = False
-        self._cut.set()
+        self._direct_failed.set()
         if self._probe is None or self._probe.done():
             self._probe = asyncio.get_running_loop().create_task(self._probe_direct())
 
     async def _probe_direct(self) -> None:
-        """Try the own way again and again, so that no call has to wait for it."""
-        while self._cut.is_set():
+        """Call the platform directly until it answers.
+
+        A separate task does this, so that no request has to wait for the attempts.
+        """
+        while self._direct_failed.is_set():
             try:
                 await self._direct.hosts()
                 self.reaches_platform = True
-                self._cut.clear()
+                self._direct_failed.clear()
             except AnvilshiftError:
                 await asyncio.sleep(_PROBE_INTERVAL / SECOND)
 
-    async def _ask_peers(self, request: StoreRequest) -> Any:
-        for address in self._peers()[:_PEERS_TRIED]:
+    async def _call_peers(self, request: StoreRequest) -> Any:
+        for address in self._peers()[:_MAX_PEERS]:
             try:
                 reply = await self._link.call_store(address, request)
             except PeerError as error:
                 if error.sent and request.method in _WRITES:
-                    detail = "a write through a peer got no answer"
+                    detail = "a write relayed through a peer got no answer"
                     raise UncertainError(detail) from error
                 continue
             if reply.code == PLATFORM_DOWN.number and not reply.uncertain:
                 continue
             return _read_reply(reply, request)
-        raise AnvilshiftError(PLATFORM_DOWN, "neither directly nor through a peer")
+        raise AnvilshiftError(PLATFORM_DOWN, "unreachable directly and through peers")
 
     def close(self) -> None:
-        """Stop trying the own way."""
+        """Stop the attempts to restore the direct connection."""
         if self._probe is not None:
             self._probe.cancel()
 
 
-def _is_unreached(error: AnvilshiftError) -> bool:
-    """Tell whether a call provably had no effect and another way may have."""
+def _may_reroute(error: AnvilshiftError) -> bool:
+    """Tell whether a call provably had no effect and another route may succeed."""
     reached = isinstance(error, UncertainError | RateLimitedError)
     return error.code is PLATFORM_DOWN and not reached
 
--- a/anvilshift/router/relocating.py
+++ b/anvilshift/router/relocating.py
@@ -1,7 +1,7 @@
-"""Agree with the other routers that a content goes elsewhere than to its homes.
+"""Agree with the other routers to send a content to a target that isn't its home.
 
-The question is decided in `core.relocation`; this carries it to every other router
-and back.
+`core.relocation` makes the decision.  This module sends the steps of the two-phase
+commit to every other router and returns their replies.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 
 class Step(Enum):
-    """Steps of a two-phase commit."""
+    """Step of the two-phase commit that relocates a content."""
 
     PREPARE = "prepare"
     COMMIT = "commit"
@@ -30,12 +30,12 @@
 
 @dataclass
 class Relocating:
-    """One router's part in agreeing where contents go.
+    """Coordinator and participant of relocations at one router.
 
     Parameters
     ----------
     read_roster
-        Returns the other routers as this one sees them now.
+        Returns the current roster of the other routers.
     """
 
     dispatch: DispatchLoop
@@ -43,30 +43,51 @@
     link: PeerLink
     clock: Clock
     read_roster: Callable[[], Roster]
-    _known: dict[str, str] = field(default_factory=dict)
+    _known_incarnations: dict[str, str] = field(default_factory=dict)
     _tasks: set[asyncio.Task[bool]] = field(default_factory=set)
 
     def note_routers(self) -> None:
-        """Take in which routers there are; one that is gone unannounced is lost."""
+        """Update the known routers, and report lost ones to the dispatcher.
+
+        A router is lost when its record disappeared or names another incarnation,
+        unless the router announced before that it was leaving.
+        """
         sightings = self.read_roster().sightings.values()
-        staying = {s.member.name: s.member for s in sightings if not s.member.leaving}
-        leaving = {s.member.name for s in sightings if s.member.leaving}
-        for name, incarnation in self._known.items():
+        staying = {
+            sighting.member.name: sighting.member
+            for sighting in sightings
+            if not sighting.member.leaving
+        }
+        leaving = {
+            sighting.member.name for sighting in sightings if sighting.member.leaving
+        }
+        for name, incarnation in self._known_incarnations.items():
             member = staying.get(name)
             replaced = member is not None and member.incarnation != incarnation
             if replaced or (member is None and name not in leaving):
                 logging.info("router lost name=%s incarnation=%s", name, incarnation)
                 self.dispatcher.note_lost_router(self.clock.now())
-        self._known = {name: member.incarnation for name, member in staying.items()}
+        self._known_incarnations = {
+            name: member.incarnation for name, member in staying.items()
+        }
 
     async def ask(self, ask: Ask) -> bool:
-        """Return whether a content may go to a target, which all others now know."""
+        """Ask all other routers whether a content may go to a target.
+
+        Returns
+        -------
+        bool
+            Whether every other router prepared the relocation.
+        """
         self.note_routers()
         before = self._list_incarnations()
         answers = await asyncio.gather(
-            *(self._call(address, ask, Step.PREPARE) for address in before.values())
+            *(
+                self._send_step(address, ask, Step.PREPARE)
+                for address in before.values()
+            )
         )
-        # One that came meanwhile was not asked.
+        # A router that joined in the meantime was not asked, so nothing is agreed.
         agreed = all(answers) and self._list_incarnations() == before
         logging.info(
             "content relocated content=%s engine=%s agreed=%s prepared=%d of %d",
@@ -77,20 +98,24 @@
             len(answers),
         )
         for address in before.values():
-            self._tell(address, ask, Step.COMMIT if agreed else Step.ABORT)
+            self._send_decision(address, ask, Step.COMMIT if agreed else Step.ABORT)
         return agreed
 
     def _list_incarnations(self) -> dict[str, str]:
         """Return the peer address of each router's incarnation."""
-        members = [s.member for s in self.read_roster().sightings.values()]
+        members = [
+            sighting.member for sighting in self.read_roster().sightings.values()
+        ]
         return {member.incarnation: member.peer_address for member in members}
 
-    def _tell(self, address: str, ask: Ask, step: Step) -> None:
-        task = asyncio.get_running_loop().create_task(self._call(address, ask, step))
+    def _send_decision(self, address: str, ask: Ask, step: Step) -> None:
+        task = asyncio.get_running_loop().create_task(
+            self._send_step(address, ask, step)
+        )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _call(self, address: str, ask: Ask, step: Step) -> bool:
+    async def _send_step(self, address: str, ask: Ask, step: Step) -> bool:
         request = RelocateRequest(
             step=step.value, content=ask.content, target=ask.target, ticket=ask.ticket
         )
@@ -102,7 +127,7 @@
         return reply.prepared
 
     def take(self, request: RelocateRequest) -> RelocateReply:
-        """Take a step that another router asks for."""
+        """Carry out a step that another router requests."""
         ask, now = (
             Ask(request.content, request.target, request.ticket),
             self.clock.now(),
@@ -114,6 +139,6 @@
         return RelocateReply(prepared=False)
 
     def close(self) -> None:
-        """Stop telling others."""
+        """Cancel the decisions that are still being sent."""
         for task in self._tasks:
             task.cancel()
--- a/anvilshift/router/sealing.py
+++ b/anvilshift/router/sealing.py
@@ -1,4 +1,4 @@
-"""Close lost holders in one ledger object and take in what they had billed."""
+"""Seal holders of lost routers in one ledger object and record their bills."""
 
 import asyncio
 from collections.abc import Mapping
@@ -11,32 +11,35 @@
 from anvilshift.objects.ledgers import change_body
 
 BILL_LIFETIME_S = 150
-"""Seconds for which a request that is sent again is recognised by its bill:
-several times the longest deadline.  Kept longer, the marks of 250 requests a
-second would outgrow the ledger's object."""
+"""Seconds for which a repeated request is recognised by its recorded bill, several
+times the longest deadline.  With a longer lifetime, the marks of 250 requests per
+second would exceed the size limit of the ledger's object."""
 HOLDER_LIFETIME_S = 24 * 3600
-"""Seconds for which a sealed holder is remembered.  No paused process comes
-back later; 100 lost hosts a day are then some 10 kB of the ledger."""
+"""Seconds for which the ledger keeps a sealed holder.  No paused process resumes after
+that time.  With 100 lost hosts a day, sealed holders take some 10 kB of the ledger."""
 
 
 class Sealing:
-    """What is done in a ledger for holders that are lost.
+    """Changes of one ledger object for holders of lost routers.
 
     Parameters
     ----------
+    cached
+        Cached copy of the ledger object.
     lock
-        Held during each change, for the object is one process's to write.
+        Held during each change, because the tasks of this process must not change
+        the cached object concurrently.
     """
 
-    def __init__(self, kept: CachedObject, lock: asyncio.Lock, clock: Clock) -> None:
-        self._object = kept
+    def __init__(self, cached: CachedObject, lock: asyncio.Lock, clock: Clock) -> None:
+        self._object = cached
         self._lock = lock
         self._clock = clock
 
     async def hand_in(
         self, holder: str, bills: Bills, closer: str = ""
     ) -> Mapping[BillKey, BillState]:
-        """Record bills of a sealed holder that it released within its allowance."""
+        """Record bills whose answers a sealed holder completed within its allowance."""
         states: Mapping[BillKey, BillState] = {}
 
         def change(ledger: Ledger) -> Ledger:
@@ -49,13 +52,13 @@
         return states
 
     async def write_off(self, holder: str) -> None:
-        """Forget a sealed holder; what is in doubt there counts as spent."""
+        """Remove a sealed holder; its tokens in doubt are counted as spent."""
         async with self._lock:
             change = change_body(lambda ledger: ledger.write_off(holder))
             await self._object.update(change)
 
     async def seal(self, incarnation: str) -> None:
-        """Close every holder of a lost router for good."""
+        """Seal every holder of a lost router, so that it can't commit any more."""
 
         def change(ledger: Ledger) -> Ledger:
             for name in ledger.list_open():
@@ -68,7 +71,10 @@
 
 
 def belongs(holder: str, incarnation: str) -> bool:
-    """Tell whether a holder is one of an incarnation of a router.
+    """Tell whether a holder belongs to an incarnation of a router.
+
+    A router's first holder has the name of its incarnation; later ones add a dot and
+    a number.
 
     Examples
     --------
--- a/anvilshift/router/silence.py
+++ b/anvilshift/router/silence.py
@@ -1,4 +1,4 @@
-"""Notice that an engine answers nothing at all any more."""
+"""Detect that an engine no longer answers at all."""
 
 import asyncio
 import contextlib
@@ -9,49 +9,50 @@
 from anvilshift.engines.http import TargetError
 
 WATCH: Millis = 500.0
-"""Span between two looks at a silent engine: with the span after which its polls
-count as unanswered, a request leaves it within three seconds."""
+"""Interval between two checks whether an engine is silent.  Together with the time
+after which polls count as unanswered, a request leaves a silent engine within three
+seconds."""
 
 
 @contextlib.contextmanager
 def watch(is_silent: Callable[[], bool]) -> Iterator[asyncio.Timeout]:
-    """Give an attempt up whose engine has fallen silent.
+    """Abort an attempt when its engine has become silent.
 
-    A paused engine, or a network that drops everything, keeps connections
-    open; without this the request would wait there until its deadline.  An
-    engine that is merely slow still answers its polls.  It must be found
-    silent twice, because a router that was itself paused has heard nobody.
+    Connections stay open when an engine is paused or a network drops all packets.
+    Without this check the request would wait until its deadline.  An engine that is
+    only slow still answers its polls.  Two consecutive checks must find the engine
+    silent, because a router that was paused itself has received no answers either.
 
     Parameters
     ----------
     is_silent
-        Tells whether neither the attempt nor the engine's polls were answered
-        lately.
+        Tells whether neither the attempt nor the polls of its engine were answered
+        recently.
 
     Raises
     ------
     TargetError
-        When the engine was silent at two looks.
+        When two consecutive checks found the engine silent.
     """
     loop = asyncio.get_running_loop()
-    guard = asyncio.timeout(None)
+    timeout_scope = asyncio.timeout(None)
     timer: asyncio.TimerHandle | None = None
 
-    def look(doubted: bool) -> None:
+    def check_silence(was_silent: bool) -> None:
         nonlocal timer
         silent = is_silent()
-        if silent and doubted:
-            guard.reschedule(loop.time())
+        if silent and was_silent:
+            timeout_scope.reschedule(loop.time())
         else:
-            timer = loop.call_later(WATCH / SECOND, look, silent)
+            timer = loop.call_later(WATCH / SECOND, check_silence, silent)
 
-    timer = loop.call_later(WATCH / SECOND, look, False)
+    timer = loop.call_later(WATCH / SECOND, check_silence, False)
     try:
-        yield guard
+        yield timeout_scope
     except TimeoutError as error:
-        if not guard.expired():
+        if not timeout_scope.expired():
             raise
-        detail = "the engine answers nothing"
+        detail = "the engine stopped answering"
         raise TargetError(Failure.TIMED_OUT, detail) from error
     finally:
         timer.cancel()
--- a/anvilshift/router/treasury.py
+++ b/anvilshift/router/treasury.py
@@ -1,4 +1,4 @@
-"""The budgets that one router spends from, over all ledger objects."""
+"""Token budgets that one router spends from, across all ledger objects."""
 
 from collections.abc import Collection
 
@@ -26,20 +26,25 @@
 
 __all__ = ["BILL_LIFETIME_S", "LEDGER_KIND", "LEDGER_NAME", "Treasury"]
 
-ORPHAN_AFTER: Millis = 15 * SECOND
-"""Time for which a holder must be unknown before it is sealed: several leases,
-for a router that has just started is known a little later than its grants."""
+SEAL_UNKNOWN_AFTER: Millis = 15 * SECOND
+"""Time for which a holder must belong to no known router before it is sealed.  It
+spans several leases, because a router that has just started writes its grants a
+little before the others read its record."""
 
 
 class Treasury:
-    """The budgets that one router spends from.
+    """Token budgets that one router spends from.
+
+    Each budget belongs to one ledger object, and each ledger object in use has a
+    `Branch`, which commits this router's grants and bills to it.
 
     Parameters
     ----------
     incarnation
-        The router's incarnation, unique for ever; it names the holder.
+        Incarnation of the router, never used again by another process.  The names
+        of its holders in the ledger begin with it.
     spacing
-        Least milliseconds between two group commits.
+        Minimum time between two group commits, in milliseconds.
     """
 
     def __init__(
@@ -54,11 +59,11 @@
         self._budgets: dict[str, Budget] = {}
         self._shards = 0
         self._branches: dict[str, Branch] = {}
-        self._orphans: dict[str, Millis] = {}
+        self._unknown_since: dict[str, Millis] = {}
 
     @property
     def keep_copies(self) -> KeepCopies:
-        """What leaves copies of bills with other routers."""
+        """Return the hook that stores copies of bills at other routers."""
         return self.hooks.keep_copies
 
     @keep_copies.setter
@@ -67,7 +72,7 @@
 
     @property
     def ask_peers(self) -> AskPeers:
-        """What asks other routers to give tokens back."""
+        """Return the hook that asks other routers to return unused tokens."""
         return self.hooks.ask_peers
 
     @ask_peers.setter
@@ -76,26 +81,26 @@
 
     @property
     def platform_out(self) -> bool:
-        """Tell whether commits have been failing for a while."""
+        """Tell whether the commits of any ledger object keep failing."""
         return any(branch.platform_out for branch in self._branches.values())
 
     @property
     def branches(self) -> Collection[Branch]:
-        """Return the parts, one a ledger object in use."""
+        """Return the branches, one for each ledger object in use."""
         return self._branches.values()
 
     def start(self) -> None:
-        """Begin to commit; each ledger does so from its first use on."""
+        """Do nothing: each branch starts to commit when its ledger is first used."""
 
     def configure(self, budgets: dict[str, Budget]) -> None:
-        """Take in the declared budgets."""
+        """Apply the declared budgets to the accounts that are open here."""
         self._budgets = budgets
         for branch in self.branches:
             for account in branch.escrow.purses:
                 if account in budgets:
-                    self._open(branch, account)
+                    self._open_account(branch, account)
 
-    def _open(self, branch: Branch, account: str) -> None:
+    def _open_account(self, branch: Branch, account: str) -> None:
         budget = self._budgets.get(account) or Budget(account)
         branch.escrow.open(account, budget.allowance, budget.grant)
 
@@ -104,7 +109,7 @@
             self._shards = await read_shards(self._store)
         branch = self._make_branch(ledger_name(account, self._shards))
         if account not in branch.escrow.purses:
-            self._open(branch, account)
+            self._open_account(branch, account)
         return branch
 
     def _make_branch(self, name: str) -> Branch:
@@ -122,24 +127,24 @@
         return self._branches[name]
 
     async def reserve(self, account: str, key: str, tokens: int) -> None:
-        """Set tokens aside for a request.
+        """Reserve tokens for a request.
 
         Raises
         ------
         AnvilshiftError
-            Code 2001 when the budget has too few tokens anywhere, code 2002
-            when more may be there but can't be drawn now, code 2003 when this
-            router has stopped spending the budget.
+            Code 2001 when the whole budget has too few tokens, code 2002 when it
+            may have enough but this router can't draw them now, code 2003 when
+            this router has stopped spending the budget.
         """
         try:
             branch = await self._find_branch(account)
         except AnvilshiftError as error:
-            detail = "the ledger can't be found now"
+            detail = "the layout of the ledger objects can't be read now"
             raise AnvilshiftError(BUDGET_UNREACHABLE, detail, 2 * SECOND) from error
         await branch.reserve(account, key, tokens)
 
     def release(self, account: str, key: str) -> None:
-        """Give up a reservation of a request that costs nothing."""
+        """Cancel the reservation of a request that costs nothing."""
         for branch in self.branches:
             branch.release(account, key)
 
@@ -151,12 +156,12 @@
         tokens: int,
         until: Millis | None = None,
     ) -> None:
-        """Bill a request and wait until its answer may end.
+        """Bill a request and wait until its answer may be completed.
 
         Parameters
         ----------
         until
-            Instant by which the answer must end.
+            Instant by which the answer must be complete.
 
         Raises
         ------
@@ -173,13 +178,16 @@
         return [self._make_branch(name) for name in list_names(self._shards)]
 
     async def hand_in(self, holder: str, bills: Bills) -> None:
-        """Record bills of a sealed holder that it released within its allowance."""
+        """Record bills whose answers a sealed holder completed within its allowance.
+
+        Each bill goes to the ledger object that has its account.
+        """
         for branch in await self._all_branches():
-            kept = self._select(bills, branch)
-            if kept:
-                await branch.sealing.hand_in(holder, kept)
+            selected = self._select_bills(bills, branch)
+            if selected:
+                await branch.sealing.hand_in(holder, selected)
 
-    def _select(self, bills: Bills, branch: Branch) -> Bills:
+    def _select_bills(self, bills: Bills, branch: Branch) -> Bills:
         return tuple(
             (account, bill)
             for account, bill in bills
@@ -187,20 +195,22 @@
         )
 
     async def seal(self, incarnation: str) -> None:
-        """Close a lost router's grants for good."""
+        """Seal all holders of a lost router, so that it can't commit any more."""
         for branch in await self._all_branches():
             await branch.sealing.seal(incarnation)
 
     async def sweep(self, incarnations: Collection[str]) -> None:
-        """Seal holders of no known router and resolve what is in doubt.
+        """Seal holders of unknown routers and resolve tokens in doubt.
 
-        A router that dies before its first record, or whose record went but
-        not its grants, is on nobody's roster: its tokens would lie stranded.
+        A router that dies before its first record is written, or whose record was
+        deleted while its grants were still open, is on no roster.  Without this
+        sweep nobody would return the tokens of its grants to the budget.
 
         Parameters
         ----------
         incarnations
-            Every router on the roster; this one is known anyway.
+            Incarnations of the routers on the roster.  This router's own one is
+            added.
         """
         known = {*incarnations, self._incarnation}
         unknown: set[str] = set()
@@ -210,38 +220,40 @@
             ledger = read_body(found.body if found else None)
             self.copies.drop_recorded(ledger)
             holders |= set(ledger.holders)
-            await self._resolve_doubt(branch, ledger)
+            await self._resolve_sealed_holders(branch, ledger)
             unknown |= {
                 holder
                 for holder in ledger.list_open()
-                if not any(belongs(holder, one) for one in known)
+                if not any(belongs(holder, incarnation) for incarnation in known)
             }
         self.copies.keep_only(holders)
         await self._seal_orphans(unknown)
 
-    async def _resolve_doubt(self, branch: Branch, ledger: Ledger) -> None:
-        old = self._clock.wall() - HOLDER_LIFETIME_S
+    async def _resolve_sealed_holders(self, branch: Branch, ledger: Ledger) -> None:
+        expired_before = self._clock.wall() - HOLDER_LIFETIME_S
         for holder in ledger.list_sealed(before=self._clock.wall() + 1):
             witnesses = ledger.list_witnesses(holder)
             if self._incarnation in witnesses:
-                bills = self._select(self.copies.close(holder), branch)
+                bills = self._select_bills(self.copies.close(holder), branch)
                 await branch.sealing.hand_in(holder, bills, closer=self._incarnation)
-            elif self._select(self.copies.list(holder), branch):
-                bills = self._select(self.copies.list(holder), branch)
+            elif self._select_bills(self.copies.list(holder), branch):
+                bills = self._select_bills(self.copies.list(holder), branch)
                 await branch.sealing.hand_in(holder, bills)
-            elif holder in ledger.list_sealed(before=old):
+            elif holder in ledger.list_sealed(before=expired_before):
                 await branch.sealing.write_off(holder)
 
     async def _seal_orphans(self, unknown: set[str]) -> None:
         now = self._clock.now()
-        self._orphans = {h: self._orphans.get(h, now) for h in unknown}
-        for holder, since in self._orphans.items():
-            if now - since > ORPHAN_AFTER:
+        self._unknown_since = {
+            holder: self._unknown_since.get(holder, now) for holder in unknown
+        }
+        for holder, since in self._unknown_since.items():
+            if now - since > SEAL_UNKNOWN_AFTER:
                 logging.warning("sealing orphan holder=%s", holder)
                 await self.seal(holder)
 
     async def give_back(self, account: str | None = None) -> bool:
-        """Hand back what no request has reserved; False if that wasn't recorded."""
+        """Return unreserved tokens to the ledger; False if that wasn't recorded."""
         results = [
             await branch.give_back(account)
             for branch in self.branches
@@ -250,11 +262,11 @@
         return all(results)
 
     async def hand_back(self) -> bool:
-        """Record every bill and hand back what is free; False when it failed."""
+        """Record every bill and return unreserved tokens; False when that failed."""
         await self.give_back()
         return all(branch.is_settled() for branch in self.branches)
 
     async def close(self) -> None:
-        """Settle everything and stop; the grants go back."""
+        """Record all bills, return the grants to the ledger and stop."""
         for branch in self.branches:
             await branch.close()
--- a/anvilshift/router/witnesses.py
+++ b/anvilshift/router/witnesses.py
@@ -1,7 +1,7 @@
-"""Leave copies of unrecorded bills with other routers.
+"""Store copies of unrecorded bills at other routers.
 
-In an outage of the platform a bill is with its holder, with a witness and with a
-few spare keepers, so that it outlasts the loss of any one of them.
+During an outage of the platform, a bill is kept by its holder, by a witness and by a
+few more routers, so that it survives the loss of any one of them.
 """
 
 import asyncio
@@ -18,20 +18,20 @@
 from anvilshift.router.messages import Bills, make_keep_request
 from anvilshift.router.sealing import belongs
 
-_SPARE_COPIES = 2
-"""Routers that keep copies besides the witness: with more, each answer in an
-outage would cost a call to every router."""
+_EXTRA_COPIES = 2
+"""Number of routers that keep copies in addition to the witness.  If all routers kept
+them, each answer during an outage would need a call to every router."""
 
 
 class Witnesses:
-    """The other routers as keepers of this one's copies.
+    """Store copies of this router's bills at other routers.
 
     Parameters
     ----------
     own
-        This router.
+        Record of this router.
     read_roster
-        Returns the others as this router sees them now.
+        Returns the current roster of the other routers.
     """
 
     def __init__(
@@ -47,27 +47,27 @@
         self._read_roster = read_roster
 
     async def keep_copies(self, holder: str, bills: Bills, witness: str = "") -> bool:
-        """Leave copies of bills with a few other routers; True if one took them.
+        """Store copies of bills at a few other routers; True if one accepted them.
 
-        The witness gets its own, and a router that doesn't answer has none: the next
-        ones are asked in its place.
+        The witness is left out, because `keep_witnessed` sends it its own copies.
+        When a router doesn't answer, the next candidate is asked in its place.
         """
         request = make_keep_request(holder, bills)
-        left = [
+        addresses = [
             member.peer_address
-            for member in self._rank()
+            for member in self._list_candidates()
             if member.incarnation != witness and not belongs(holder, member.incarnation)
         ]
         kept = 0
-        while left and kept < _SPARE_COPIES:
-            missing = _SPARE_COPIES - kept
-            asked, left = left[:missing], left[missing:]
-            work = [self._keep_one(address, request) for address in asked]
+        while addresses and kept < _EXTRA_COPIES:
+            missing = _EXTRA_COPIES - kept
+            asked, addresses = addresses[:missing], addresses[missing:]
+            work = [self._send_copies(address, request) for address in asked]
             kept += sum(await asyncio.gather(*work))
         return kept > 0
 
     async def hand_on(self, copies: Copies) -> None:
-        """Leave the copies kept here with others, before this router ends."""
+        """Send the copies kept here to other routers before this router stops."""
         copies.stop()
         for holder in copies.list_holders():
             bills = copies.list(holder)
@@ -77,43 +77,48 @@
                 logging.error("copies end here holder=%s bills=%d", holder, len(bills))
 
     async def keep_witnessed(self, witness: str, holder: str, bills: Bills) -> bool:
-        """Leave copies of bills with the holder's witness; True once it has them."""
+        """Store copies of bills at the holder's witness; True once it has them."""
         request = make_keep_request(holder, bills, witness)
         for sighting in self._read_roster().sightings.values():
             if sighting.member.incarnation == witness:
-                return await self._keep_one(sighting.member.peer_address, request)
+                return await self._send_copies(sighting.member.peer_address, request)
         return False
 
     def choose(self, current: str) -> str:
-        """Return the incarnation of the router that is to keep copies here.
+        """Return the incarnation of this router's witness, or an empty string.
 
-        The present one, while it is heard; else one of another failure domain,
-        so that one lost domain doesn't take both.
+        The current witness is kept while its heartbeats arrive.  Otherwise routers
+        of another failure domain come first, so that the loss of one domain doesn't
+        take both the holder and its witness.
         """
-        ranked = [member.incarnation for member in self._rank()]
-        if current in ranked or not ranked:
-            return current if current in ranked else ""
-        return ranked[0]
+        candidates = [member.incarnation for member in self._list_candidates()]
+        if current in candidates or not candidates:
+            return current if current in candidates else ""
+        return candidates[0]
 
-    def _rank(self) -> list[Member]:
+    def _list_candidates(self) -> list[Member]:
         roster, now = self._read_roster(), self._clock.now()
         heard = [
-            s.member
-            for s in roster.sightings.values()
-            if s.heard is not None
-            and now - s.heard <= roster.lease
-            and not s.member.leaving
+            sighting.member
+            for sighting in roster.sightings.values()
+            if sighting.heard is not None
+            and now - sighting.heard <= roster.lease
+            and not sighting.member.leaving
         ]
         own = self._own.failure_domain
         return sorted(
-            heard, key=lambda m: (m.failure_domain == own, self._mix(m.incarnation))
+            heard,
+            key=lambda member: (
+                member.failure_domain == own,
+                self._hash_name(member.incarnation),
+            ),
         )
 
-    def _mix(self, name: str) -> int:
-        # Another order at each router spreads the copies over the fleet.
+    def _hash_name(self, name: str) -> int:
+        # Each router gets a different order, which spreads the copies over the fleet.
         return zlib.crc32(f"{self._own.incarnation}/{name}".encode())
 
-    async def _keep_one(self, address: str, request: KeepRequest) -> bool:
+    async def _send_copies(self, address: str, request: KeepRequest) -> bool:
         try:
             return bool((await self._link.keep(address, request)).kept)
         except PeerError:
