--- a/tests/router/fleetlet.py
+++ b/tests/router/fleetlet.py
@@ -1,4 +1,4 @@
-"""Routers in this process, on a platform in memory, with targets on loopback."""
+"""Routers, an in-memory platform and targets on the loopback, in one process."""
 
 import asyncio
 import contextlib
@@ -31,7 +31,7 @@
 
 
 class CountingTelemetry(Telemetry):
-    """Remembers the events that operators would see."""
+    """Telemetry that keeps the names of the counted events."""
 
     def __init__(self) -> None:
         super().__init__(exported=False)
@@ -42,7 +42,7 @@
 
 
 class SilentLink:
-    """No peer ever answers."""
+    """Peer link on which no peer answers."""
 
     async def beat(self, address, beat):
         raise PeerError(address)
@@ -54,7 +54,7 @@
 
 
 class Fleetlet:
-    """A few routers, one engine and one service, in one process."""
+    """A few routers, engines and one service, in one process."""
 
     def __init__(self, routers: int = 1, engines: int = 1) -> None:
         self.store = MemoryStore()
@@ -114,11 +114,15 @@
                 body["engines"] = {"match_labels": {"of": name}}
                 body["non_idempotent"] = name == "book"
             if kind == "EngineGroup":
-                found = engines if name == "es" else [service]
+                addresses = engines if name == "es" else [service]
                 body["labels"] = {"of": "m" if name == "es" else "book"}
                 body["engines"] = [
-                    {"name": f"{name}{i}", "address": str(a), "failure_domain": "north"}
-                    for i, a in enumerate(found)
+                    {
+                        "name": f"{name}{index}",
+                        "address": str(address),
+                        "failure_domain": "north",
+                    }
+                    for index, address in enumerate(addresses)
                 ]
             await self.store.put(kind, name, body, 0)
 
@@ -161,7 +165,7 @@
         return Client(self.addresses, token)
 
     async def cut(self, router: int) -> None:
-        """Cut a router's connections to callers; it answers no more."""
+        """Close a router's server for callers and its connections."""
         await self._servers[router].close()
 
     async def close(self) -> None:
@@ -187,6 +191,6 @@
 
 
 def read_code(answer: HttpAnswer) -> tuple[int, str]:
-    """Return an error's number and what it says of the work."""
+    """Return the number of an error and the fate of the work that it states."""
     error = json.loads(answer.body)["error"]
     return error["code"], error["fate"]
--- a/tests/router/test_agreement.py
+++ b/tests/router/test_agreement.py
@@ -1,4 +1,4 @@
-"""Engines that are new count once every router has them in force."""
+"""New engines become homes of contents once every router has them in force."""
 
 from anvilshift.core.homes import choose_homes
 from anvilshift.core.work import LoadReport, Send, Work
@@ -27,11 +27,11 @@
 
 
 CHANGED = next(f"c{n}" for n in range(99) if "e5" in find_homes(f"c{n}", NEW))
-"""A content that has the new engine for a home."""
+"""A content that has the new engine among its homes."""
 
 
-class Idle:
-    """An engine that answers its polls."""
+class IdleEngine:
+    """An idle engine that answers its polls."""
 
     def __init__(self, name):
         self.name = name
@@ -45,14 +45,14 @@
 
 class AgreementTest(VirtualTestCase):
     async def asyncSetUp(self):
-        self.fleet = Nodes(engine=lambda engine, router: Idle(engine.name))
+        self.fleet = Nodes(engine=lambda engine, router: IdleEngine(engine.name))
         self.addAsyncCleanup(self.fleet.close)
         await self.fleet.platform.put("EngineGroup", "models", make_group(OLD), 0)
         await self.fleet.start("r1", "r2", "r3")
         self.count = 0
 
-    async def declare_behind_a_cut(self):
-        """Declare an engine while r3 can't hear of it."""
+    async def declare_during_partition(self):
+        """Declare an engine while r3 reaches neither the platform nor its peers."""
         self.fleet.cut_from_platform("r3")
         self.fleet.cut_peers("r3")
         platform = self.fleet.platform
@@ -60,8 +60,8 @@
         await platform.put("EngineGroup", "models", make_group(NEW), found.version)
         await wait_until(lambda: self.fleet.nodes["r1"].targets.engine("e5"))
 
-    def list_used(self, router, content=CHANGED):
-        """Return the engines that a router uses for new copies of a content."""
+    def list_used_engines(self, router, content=CHANGED):
+        """Return the engines to which a router sends requests with a content."""
         node = self.fleet.nodes[router]
         used = set()
         for _ in range(20):
@@ -78,21 +78,29 @@
         return used
 
     async def test_new_engine_is_no_home_until_a_router_behind_a_cut_is_removed(self):
-        """Guards against a third engine through a router that has not heard of one."""
-        await self.declare_behind_a_cut()
+        """A content must not reach three engines because routers know different ones.
+
+        A partitioned router doesn't know the new engine yet, and sends the content
+        to its homes among the old engines.  Until its record is removed, the others
+        use only engines that are homes both with and without the new one.
+        """
+        await self.declare_during_partition()
         common = find_homes(CHANGED, OLD) & find_homes(CHANGED, NEW)
-        self.assertLessEqual(self.list_used("r1"), common)
+        self.assertLessEqual(self.list_used_engines("r1"), common)
         roster = self.fleet.nodes["r1"].fleet
         await wait_until(lambda: "r3" not in roster.roster.sightings)
         await wait_until(
             lambda: roster.find_common_revision() == roster.member.revision
         )
         other = next(f"d{n}" for n in range(99) if "e5" in find_homes(f"d{n}", NEW))
-        await wait_until(lambda: "e5" in self.list_used("r1", other))
+        await wait_until(lambda: "e5" in self.list_used_engines("r1", other))
 
     async def test_router_that_starts_waits_for_one_that_is_behind(self):
-        """Guards against a newcomer that knows only engines others don't know."""
-        await self.declare_behind_a_cut()
+        """A new router must not use engines that another router doesn't know yet.
+
+        It becomes ready only when the router that is behind has been removed.
+        """
+        await self.declare_during_partition()
         newcomer = self.fleet.start_one("r4")
         await wait_until(lambda: newcomer.fleet.member.revision > 0)
         self.assertFalse(newcomer.is_ready())
--- a/tests/router/test_claimed.py
+++ b/tests/router/test_claimed.py
@@ -1,4 +1,4 @@
-"""Orders run at most once, and *not run* is never said of one that ran."""
+"""Orders run at most once, and no order that ran is reported as *not run*."""
 
 import asyncio
 import json
@@ -33,11 +33,11 @@
         return decode(Claim, body) if body else None
 
     async def test_order_whose_bill_fails_is_not_told_not_run(self):
-        """A router's grant is sealed while a booking runs at the service.
+        """A failed bill must not void the claim of an order that ran.
 
-        The bill then fails for want of tokens, code 2002 *not run*.  The claim
-        was voided, the clerk's client sent the key again, and a second truck
-        left the yard.
+        When a router's grant is sealed while an order runs, the bill fails for lack
+        of tokens with code 2002, *not run*.  If that voided the claim, the client
+        would repeat the key and the order would run twice.
         """
         failing = AnvilshiftError(BUDGET_UNREACHABLE)
         treasury = self.fleet.nodes[0].treasury
@@ -48,16 +48,17 @@
         self.assertEqual(self.ran, 1)
 
     async def test_record_that_fails_leaves_the_answer(self):
-        """The platform goes out while a booking runs, so its outcome can't be kept.
+        """An order whose outcome can't be recorded must not be reported as *not run*.
 
-        The caller was told 5001 *not run* of an order that stood in the book.
-        The answer is the caller's; the claim stays, and is ended afterwards.
+        The platform fails while an order runs.  The caller must get the answer
+        instead of code 5001, and the claim must be finished once the platform is
+        back.
         """
         self.fleet.service.faults.delay_ms = 100.0
-        booking = asyncio.create_task(self.fleet.book("k"))
+        order = asyncio.create_task(self.fleet.book("k"))
         await wait_until(lambda: self.read_claim("k"))
         self.store.faults.cut.add("r1")
-        first = await booking
+        first = await order
         self.assertEqual(first.status, 201)
         self.assertEqual((await self.fleet.book("k")).body, first.body)
         self.store.faults.cut.clear()
@@ -73,11 +74,11 @@
         self.assertEqual(self.ran, 0)
 
     async def test_claim_whose_answers_were_lost_does_not_block_the_key(self):
-        """Claim writes take effect and their answers are lost, then it is out.
+        """A claim whose write was not confirmed must be voided later.
 
-        The order is refused as *not run*.  Its claim stands in the platform
-        and nobody would ever end it, so each repeat waited to its deadline and
-        heard *unknown*.
+        The write takes effect, its answer is lost, and the platform then becomes
+        unreachable.  The order is refused as *not run*.  If its claim stayed open,
+        each repeat would wait until its deadline and end as *unknown*.
         """
 
         async def cut(caller: str, verb: str) -> None:
@@ -111,39 +112,39 @@
             self.assertEqual(read_code(answer), (1007, "not run"))
 
     async def test_order_goes_on_when_its_caller_leaves(self):
-        """A clerk's connection breaks while the booking runs.
+        """An order must run to its end when its caller disconnects.
 
-        The call was cut off in its midst, its outcome lost, and the clerk's
-        next sending heard *unknown* although the truck was booked.
+        If the call to the service were cancelled, its outcome would be lost and a
+        repeat would end as *unknown* although the order ran.
         """
         self.fleet.service.faults.delay_ms = 100.0
-        booking = asyncio.create_task(self.fleet.book("k"))
+        order = asyncio.create_task(self.fleet.book("k"))
         await wait_until(lambda: self.read_claim("k"))
-        booking.cancel()
+        order.cancel()
         answer = await self.fleet.book("k", router=1)
         self.assertEqual(answer.status, 201)
         self.assertEqual(self.ran, 1)
 
     async def test_order_is_read_on_at_a_router_that_is_leaving(self):
-        """A clerk's connection breaks while its router's planned stop begins.
+        """A stopping router must answer repeats of an order that it is running.
 
-        The repeat heard 3004 *not run* of an order that ran at this router.
-        New work is refused all the same.
+        The caller's connection breaks when the planned stop begins.  The repeat must
+        not be refused with code 3004, *not run*, while new work still is.
         """
         self.fleet.service.faults.delay_ms = 200.0
-        booking = asyncio.create_task(self.fleet.book("k"))
+        order = asyncio.create_task(self.fleet.book("k"))
         await wait_until(lambda: self.read_claim("k"))
-        booking.cancel()
+        order.cancel()
         self.fleet.nodes[0].callers.refusing = True
         self.assertEqual(read_code(await self.fleet.book("new")), (3004, "not run"))
         self.assertEqual((await self.fleet.book("k")).status, 201)
         self.assertEqual(self.ran, 1)
 
     async def test_order_of_a_dead_router_is_unknown_at_once(self):
-        """A router is killed after it sent a booking; its claim stays open.
+        """A repeat of an order whose router was killed must end at once.
 
-        Nobody can tell whether the truck is booked, and nobody may send it
-        again.  The caller hears so at once, not at the end of its deadline.
+        The claim stays open, so the outcome is unknown and the order must not be
+        sent again.  The caller must not wait until its deadline for that error.
         """
         content = digest("book", "POST", "runs", json.dumps({"drums": 1}).encode())
         claim = Claim(content, "r9-0123456789ab", "t", at=0)
@@ -170,18 +171,20 @@
         self.assertEqual((await self.fleet.book("k", router=1)).status, 201)
 
     async def test_claimed_stream_is_read_while_it_is_made(self):
-        """An order-desk model answers an order at length.
+        """The stream of a claimed run must reach callers while it is generated.
 
-        Its clerk saw nothing until the end.  Both of two sendings read the one
-        run, and the end mark follows the record.
+        Two requests with the same key read the same run, and the stream's end mark
+        is sent only after the outcome is recorded.
         """
         self.fleet.engines[0].faults.slow = 20.0
         headers = (("idempotency-key", "k"), ("anvilshift-non-idempotent", "true"))
         client = self.fleet.client()
         message = {"role": "user", "content": "order"}
-        asked = Conversation("m", [message], 20, 8_000.0, "k", non_idempotent=True)
+        conversation = Conversation(
+            "m", [message], 20, 8_000.0, "k", non_idempotent=True
+        )
         texts = []
-        async for text in client.stream(asked):
+        async for text in client.stream(conversation):
             if not texts:
                 second = asyncio.create_task(
                     self.fleet.chat("order", *headers, tokens=20)
--- a/tests/router/test_claims.py
+++ b/tests/router/test_claims.py
@@ -1,4 +1,4 @@
-"""The book of claims against a platform that answers anything, or nothing."""
+"""Claims on a platform that sends invalid answers, or none."""
 
 import asyncio
 import random
@@ -81,10 +81,10 @@
         return book
 
     async def test_waiting_for_another_router_reads_a_few_objects(self):
-        """A booking runs for two seconds at another router; a repeat waits here.
+        """A repeat that waits for another router must read the claim rarely.
 
-        With a read every 20 ms, a hundred waiting orders would take the
-        platform's whole rate.
+        With a read every 20 ms, a hundred waiting orders would use up the platform's
+        rate limit.
         """
         await self.make_book("r2-x").take(make_job())
         before = self.store.calls["get"]
@@ -95,9 +95,9 @@
         self.assertEqual(self.store.calls["list"], 0)
 
     async def test_platform_that_goes_out_while_waiting_leaves_unknown(self):
-        """Another router holds the key; then the platform goes out.
+        """An outage while waiting for another router's claim must end as *unknown*.
 
-        The work may run there: *not run* would be a guess.
+        The work may have run at that router, so *not run* could be wrong.
         """
         await self.make_book("r2-x").take(make_job())
         waiting = asyncio.create_task(self.book.take(make_job()))
--- a/tests/router/test_claims_random.py
+++ b/tests/router/test_claims_random.py
@@ -1,4 +1,4 @@
-"""Claims under random faults in virtual time: no key is ever sent twice."""
+"""Claims under random faults in virtual time: no key is sent to the target twice."""
 
 import asyncio
 import random
@@ -24,22 +24,22 @@
 
 
 class World:
-    """Three routers that share a platform with faults; a target that counts."""
+    """Three routers on a faulty platform, and a target that counts its requests."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.store = MemoryStore()
-        self.store.faults.before = self.store.faults.after = self.dawdle
+        self.store.faults.before = self.store.faults.after = self.delay_call
         self.sent: Counter[str] = Counter()
         self.answers: dict[str, set[str]] = {}
         self.fates: Counter[str] = Counter()
-        self.heard: dict[str, set[str]] = {}
+        self.fates_by_key: dict[str, set[str]] = {}
         self.senders: set[int] = set()
         self.books: list[ClaimBook] = []
         self.starts = 0
         self.routers = [self.start_router(index) for index in range(3)]
 
-    async def dawdle(self, caller: str, verb: str) -> None:
+    async def delay_call(self, caller: str, verb: str) -> None:
         await asyncio.sleep(self.rng.expovariate(1 / 0.05))
         if caller not in self.names:
             raise AnvilshiftError(PLATFORM_DOWN, "the caller is dead")
@@ -52,15 +52,15 @@
         self.starts += 1
         clock, holder = VirtualClock(), f"r{index}-{self.starts}"
         view = self.store.view(holder)
-        book = ClaimBook(view, clock, holder, self.rng, self.lives)
+        book = ClaimBook(view, clock, holder, self.rng, self.is_running)
         self.books.append(book)
         return ClaimedRuns(book, clock)
 
-    def lives(self, holder: str) -> bool:
+    def is_running(self, holder: str) -> bool:
         return holder in self.names
 
     async def send(self, key: str, count: int) -> Answer:
-        """Reach the target, or fail before it or after it."""
+        """Send to the target, and fail at random before or after it runs."""
         chance = self.rng.random()
         if chance < 0.25:
             raise AnvilshiftError(NO_ENGINE)
@@ -86,11 +86,11 @@
         except AnvilshiftError as error:
             fate = error.code.fate.value
         self.fates[fate] += 1
-        self.heard.setdefault(key, set()).add(fate)
+        self.fates_by_key.setdefault(key, set()).add(fate)
         assert fate != "not run" or number not in self.senders
 
-    async def hurt(self) -> None:
-        """Cut, lose, fail and kill until the callers are done."""
+    async def inject_faults(self) -> None:
+        """Inject random faults and kill routers until cancelled."""
         faults = self.store.faults
         while True:
             await asyncio.sleep(self.rng.uniform(0.1, 1.5))
@@ -110,7 +110,7 @@
                 self.kill(self.rng.randrange(3))
 
     def kill(self, index: int) -> None:
-        """End a router with all that it had in memory, and start another."""
+        """Stop a router without recording its state, and start a new one."""
         dead = self.routers[index]
         dead.book.close()
         for entry in dead._entries.values():
@@ -118,10 +118,10 @@
         self.routers[index] = self.start_router(index)
 
     async def run(self) -> None:
-        hurting = asyncio.create_task(self.hurt())
+        injecting = asyncio.create_task(self.inject_faults())
         calls = (self.call(number) for number in range(SENDINGS))
         await asyncio.gather(*calls, return_exceptions=False)
-        hurting.cancel()
+        injecting.cancel()
         self.store.faults.cut.clear()
         self.store.faults.outage = False
         await asyncio.sleep(60)
@@ -131,10 +131,11 @@
 
 class RandomClaimsTest(unittest.TestCase):
     def test_no_key_is_sent_twice_and_all_hear_one_answer(self):
-        """Cuts, lost answers, lost writes, outages and kills, two at once.
+        """No key may be sent twice, and all callers of a key must get one answer.
 
-        A key that was sent twice is a second truck; two callers of a key that
-        hear different answers show the same.
+        The faults are cuts, lost answers, lost writes, outages and kills, several of
+        them at a time.  A key sent twice means that an order ran twice, and so do
+        different answers to two callers of one key.
         """
         fates: Counter[str] = Counter()
         for seed in range(SEEDS):
@@ -144,8 +145,8 @@
                 self.assertLessEqual(max(world.sent.values(), default=0), 1)
                 for key, bodies in world.answers.items():
                     self.assertEqual(len(bodies), 1, key)
-                for key, heard in world.heard.items():
-                    if heard == {"not run"}:
+                for key, key_fates in world.fates_by_key.items():
+                    if key_fates == {"not run"}:
                         self.assertEqual(world.sent[key], 0, key)
                 self.assertLessEqual(len(world.store.names(CLAIM_KIND)), KEYS)
             fates += world.fates
--- a/tests/router/test_crashes.py
+++ b/tests/router/test_crashes.py
@@ -1,4 +1,4 @@
-"""Every router hears of a crash at once, and of each crash once."""
+"""Every router receives the report of a crash at once, and applies it only once."""
 
 import asyncio
 
@@ -21,13 +21,14 @@
             )
 
     async def test_news_is_quicker_than_the_caller_that_sends_again(self):
-        """A poisonous request crashes a target; its caller sends it again
-        through another router, which must not lose a third target to it.
+        """A crash must be reported before the caller repeats the request elsewhere.
+
+        Otherwise the router that gets the repeat sends it to a third target.
         """
-        began = self.fleet.clock.now()
+        started_at = self.fleet.clock.now()
         self.fleet.nodes["r1"].dispatch.announce(Announce("poison", "e1"))
         await wait_until(lambda: len(self.heard) == 2)
-        self.assertLess(self.fleet.clock.now() - began, HEARTBEAT / 5)
+        self.assertLess(self.fleet.clock.now() - started_at, HEARTBEAT / 5)
         self.assertEqual({name for name, _, _ in self.heard}, {"r2", "r3"})
 
     async def test_repeated_news_is_taken_once(self):
@@ -40,10 +41,10 @@
         self.assertEqual(self.fleet.nodes["r1"].crashes.list_told(), [])
 
     async def test_router_that_was_cut_off_hears_once_the_cut_has_healed(self):
-        """A poison costs two targets while one router is cut off from the others.
+        """A router that was partitioned must receive crash reports afterwards.
 
-        News was told for three heartbeats only, so half a minute later the
-        same work cost a third target through the router that had missed it.
+        If crashes were reported for only a few heartbeats, the same content would
+        crash a third target through the router that missed them.
         """
         self.fleet.cut_peers("r3")
         self.fleet.nodes["r1"].dispatch.announce(Announce("poison", "e1"))
@@ -54,16 +55,22 @@
         self.assertEqual(self.heard[1], ("r3", "poison", "e1"))
 
     async def test_news_goes_round_a_cut_between_two_routers(self):
-        """Guards against a poison that runs on where the news' teller isn't heard."""
+        """A crash report must reach a router through a third one.
+
+        Otherwise the content still runs at a router that can't reach the sender.
+        """
         self.fleet.pair_cuts = {frozenset({"r1", "r3"})}
         self.fleet.nodes["r1"].dispatch.announce(Announce("poison", "e1"))
-        began = self.fleet.clock.now()
+        started_at = self.fleet.clock.now()
         await wait_until(lambda: len(self.heard) == 2)
-        self.assertLess(self.fleet.clock.now() - began, 3 * HEARTBEAT)
+        self.assertLess(self.fleet.clock.now() - started_at, 3 * HEARTBEAT)
         self.assertEqual(self.heard[1], ("r3", "poison", "e1"))
 
     async def test_router_that_cannot_hear_another_knows_it(self):
-        """Guards against a router that takes what it wasn't told for harmless."""
+        """A partitioned router must know that it may have missed crash reports.
+
+        Otherwise it would treat contents as harmless that crashed targets elsewhere.
+        """
         node = self.fleet.nodes["r1"]
         await wait_until(lambda: not node.dispatcher._state.partitioned)
         self.fleet.cut_peers("r3")
@@ -72,7 +79,11 @@
         await wait_until(lambda: not node.dispatcher._state.partitioned)
 
     async def test_router_that_lost_its_record_behind_a_cut_is_reckoned_with(self):
-        """Guards against a third engine lost where two were, by copies it served."""
+        """A removed router must count as partitioned until it has surely stopped.
+
+        It may still send a content to its targets, so that a third engine could
+        crash on a content that already crashed two.
+        """
         node = self.fleet.nodes["r1"]
         await wait_until(lambda: not node.dispatcher._state.partitioned)
         self.fleet.cut_from_platform("r3")
@@ -84,14 +95,18 @@
         self.assertFalse(node.dispatcher._state.partitioned)
 
     async def test_neighbours_of_a_crash_do_not_push_out_what_is_blamed(self):
-        """Guards against a poison that is no longer told of after a busy crash."""
+        """Contents that were running during a crash must not displace a blamed one.
+
+        Otherwise the blamed content is no longer reported after a crash with many
+        requests in flight.
+        """
         crashes = self.fleet.nodes["r1"].crashes
         crashes.announce(Announce("poison", "e1"))
         for n in range(200):
             crashes.announce(Announce(f"neighbour{n}", "e2", times=0))
-        told = [(crash.content, crash.target) for crash in crashes.list_told()]
-        self.assertIn(("poison", "e1"), told)
-        self.assertEqual(len(told), 50)
+        reported = [(crash.content, crash.target) for crash in crashes.list_told()]
+        self.assertIn(("poison", "e1"), reported)
+        self.assertEqual(len(reported), 50)
 
     async def test_router_that_missed_a_beat_hears_with_the_next(self):
         self.fleet.cut_peers("r3")
@@ -102,10 +117,10 @@
         self.assertEqual(self.heard[1], ("r3", "poison", "e1"))
 
     async def test_router_that_starts_anew_hears_what_is_quarantined(self):
-        """A router is killed and replaced after a poison cost two targets.
+        """A new router must receive the quarantined contents of the others.
 
-        Its successor knew nothing of it and lost a third target to the first
-        request that its callers sent again.
+        Otherwise the first repeat of such a request crashes a third target through
+        the new router.
         """
         for target in ("e1", "e2"):
             self.fleet.nodes["r1"].dispatcher.crashed("poison", target, 0.0)
--- a/tests/router/test_departing.py
+++ b/tests/router/test_departing.py
@@ -1,4 +1,4 @@
-"""Which targets are taken for leaving, from signs that may be late or wrong."""
+"""Detection of leaving targets from sources that may be late or wrong."""
 
 import asyncio
 import random
@@ -17,7 +17,8 @@
         self.clock = ManualClock()
         self.told = []
         self.departing = Departing(
-            lambda target, away: self.told.append((target, away)), self.clock
+            lambda target, is_leaving: self.told.append((target, is_leaving)),
+            self.clock,
         )
         engines = tuple(Engine(name, "127.0.0.1:1", "north") for name in ("e1", "e2"))
         group = EngineGroup("models", TargetKind.MODEL, engines)
@@ -34,7 +35,10 @@
         self.departing.configure(Catalogue(groups={"models": group}))
 
     def test_engine_that_is_no_longer_declared_is_not_taken_for_leaving(self):
-        """Guards against an engine told of as leaving for ever after a release."""
+        """An engine that is no longer declared must not be reported as leaving.
+
+        It isn't polled any more, so no report would ever clear its mark.
+        """
         self.report("e1", leaving=True)
         for _ in range(2):
             self.departing.take_refusal("e2")
@@ -46,7 +50,10 @@
         self.assertEqual(self.departing.leaving, frozenset())
 
     def test_poll_that_ends_after_its_engine_is_undeclared_says_nothing(self):
-        """Guards against an engine taken for leaving that nobody asks any more."""
+        """A poll that ends after the declaration was removed must change nothing.
+
+        Otherwise an engine that is no longer polled would be leaving for ever.
+        """
         self.departing.take_refusal("e1")
         self.declare("e2")
         self.departing.take_refusal("e1")
@@ -57,7 +64,10 @@
         self.departing.take_hosts(entries)
 
     def test_engine_that_answers_on_off_the_list_is_used_again(self):
-        """Guards against engines lost one by one, each to an entry that is gone."""
+        """An engine that answers must be used again though its host isn't listed.
+
+        Otherwise each entry that the list loses would take one engine out of use.
+        """
         self.list_hosts(HostEntry("e1", True))
         self.list_hosts()
         self.clock.advance(9 * SECOND)
@@ -93,17 +103,20 @@
         return ()
 
     def test_routers_that_start_together_read_the_list_at_other_instants(self):
-        """Guards against an entry that stands for a moment and is seen by nobody."""
+        """Routers must read the list of hosts at different instants.
+
+        Otherwise all of them would miss an entry that exists only briefly.
+        """
         self.read = []
 
-        async def play():
+        async def follow_together():
             tasks = [asyncio.ensure_future(self._follow(seed)) for seed in range(4)]
             await asyncio.sleep(0.5)
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-        run_virtual(play())
+        run_virtual(follow_together())
         firsts = sorted(self.read)[:4]
         self.assertGreater(max(firsts) - min(firsts), 0.1)
         self.assertEqual(len({round(at, 3) for at in firsts}), 4)
--- a/tests/router/test_following.py
+++ b/tests/router/test_following.py
@@ -1,3 +1,5 @@
+"""Number of watch calls that routers make to the platform."""
+
 import asyncio
 
 from tests.router.nodes import Nodes, VirtualTestCase
@@ -5,20 +7,22 @@
 
 class WatchRateTest(VirtualTestCase):
     async def test_renewals_of_others_do_not_drive_the_watch(self):
-        """A fleet grows from four routers to twelve, and its platform slows
-        down for everyone: each renewal of each router answers the watch of all,
-        and each asks again at once, so that the calls grow with the square.
+        """Renewals of router records must not make the watch calls grow too fast.
+
+        Each renewal answers the watch of every router.  If all of them called again
+        at once, the number of calls would grow with the square of the number of
+        routers, which slowed the platform down for a fleet of twelve.
         """
         fleet = Nodes()
         self.addAsyncCleanup(fleet.close)
         names = [f"r{number}" for number in range(1, 13)]
         for name in names:
             await fleet.start(name)
-            await asyncio.sleep(0.13)  # so that renewals don't fall together
+            await asyncio.sleep(0.13)  # keeps the renewals apart
         await asyncio.sleep(5)
         before = fleet.platform.calls["watch"]
         await asyncio.sleep(10)
-        asked = fleet.platform.calls["watch"] - before
-        # A pause of 250 ms allows four calls a second of each of the twelve.
-        self.assertLessEqual(asked, 4 * 10 * 12)
-        self.assertGreater(asked, 0)
+        calls = fleet.platform.calls["watch"] - before
+        # A pause of 250 ms allows four calls per second for each of twelve routers.
+        self.assertLessEqual(calls, 4 * 10 * 12)
+        self.assertGreater(calls, 0)
--- a/tests/router/test_moving.py
+++ b/tests/router/test_moving.py
@@ -1,4 +1,4 @@
-"""Work at a hung engine goes on elsewhere; news of crashes reaches the others."""
+"""Work moves away from a hung engine, and heartbeats carry reports of crashes."""
 
 import asyncio
 import unittest
@@ -22,10 +22,11 @@
         return read_events(answer)[0]
 
     async def test_callers_at_a_hung_engine_are_answered_whole_by_another(self):
-        """One of two engines hangs: it takes requests and answers nothing.
+        """Requests at an engine that hangs must be completed by another engine.
 
-        Each caller must get one whole answer, well before its deadline of
-        eight seconds, and nothing is left at the hung engine.
+        The hung engine accepts requests and never answers.  Each caller must get one
+        complete answer well before its deadline of eight seconds, and no request may
+        remain at the hung engine.
         """
         for index in range(8):
             await self.ask(f"warm {index}")
@@ -42,14 +43,14 @@
     async def test_heartbeats_carry_news_of_crashes(self):
         node = self.fleet.nodes[0]
         node.dispatch.act([Announce("poison", "es0")])
-        beat = node.fleet._make_heartbeat()
-        found = [(crash.content, crash.target) for crash in beat.crashes]
+        heartbeat = node.fleet._make_heartbeat()
+        found = [(crash.content, crash.target) for crash in heartbeat.crashes]
         self.assertEqual(found, [("poison", "es0")])
         for _ in range(2):
             node.fleet.hear_crashes([Crash(content="other", target="es1")])
-        book = node.dispatcher._state.quarantine
-        self.assertTrue(book.is_suspect("other"))
-        self.assertFalse(book.is_quarantined("other", node.clock.now()))
+        quarantine = node.dispatcher._state.quarantine
+        self.assertTrue(quarantine.is_suspect("other"))
+        self.assertFalse(quarantine.is_quarantined("other", node.clock.now()))
 
 
 if __name__ == "__main__":
--- a/tests/router/test_quarantined.py
+++ b/tests/router/test_quarantined.py
@@ -1,4 +1,4 @@
-"""What a content cost is known after every router that saw it has ended."""
+"""Quarantined contents stay known after every router that saw the crashes stopped."""
 
 from anvilshift.core.exposure import FORGET_AFTER
 from anvilshift.core.work import Announce
@@ -12,7 +12,7 @@
         self.fleet = Nodes()
         self.addAsyncCleanup(self.fleet.close)
 
-    def lose(self, name, *targets):
+    def crash(self, name, *targets):
         node = self.fleet.nodes[name]
         for target in targets:
             node.dispatcher.crashed("poison", target, self.fleet.clock.now())
@@ -26,9 +26,13 @@
         return dispatcher.list_confined("poison") == ["e1", "e2"]
 
     async def test_fleet_that_is_replaced_at_once_knows_what_the_former_lost(self):
-        """Guards against a poison that costs two engines again after a power loss."""
+        """Routers that replace the whole fleet must know the quarantined contents.
+
+        Otherwise a content crashes two more engines, for example after a power
+        failure.
+        """
         await self.fleet.start("r1", "r2")
-        self.lose("r1", "e1", "e2")
+        self.crash("r1", "e1", "e2")
         await wait_until(self.is_stored)
         for name in ("r1", "r2"):
             await self.fleet.nodes.pop(name).close()
@@ -37,14 +41,14 @@
 
     async def test_one_crash_alone_is_not_recorded(self):
         await self.fleet.start("r1")
-        self.lose("r1", "e1")
+        self.crash("r1", "e1")
         await wait_until(lambda: self.fleet.nodes["r1"].crashes.list_told())
         self.assertFalse(self.is_stored())
 
     async def test_record_is_written_once_the_platform_is_back(self):
         await self.fleet.start("r1")
         self.fleet.platform.faults.outage = True
-        self.lose("r1", "e1", "e2")
+        self.crash("r1", "e1", "e2")
         await wait_until(lambda: self.fleet.clock.now() > 10_000.0)
         self.assertFalse(self.is_stored())
         self.fleet.platform.faults.outage = False
--- a/tests/router/test_relayed.py
+++ b/tests/router/test_relayed.py
@@ -1,4 +1,4 @@
-"""A router without a way to the platform works through its peers."""
+"""A router without a direct connection calls the platform through its peers."""
 
 import asyncio
 import unittest
@@ -12,7 +12,7 @@
 
 
 class Link:
-    """Carry store calls to the one peer there is."""
+    """Peer link to a single peer that relays store calls."""
 
     def __init__(self, store):
         self.store = store
@@ -63,10 +63,10 @@
         self.assertTrue(self.store.reaches_platform)
 
     async def test_write_with_a_lost_answer_is_not_sent_through_a_peer(self):
-        """A top-up takes effect and its answer is lost on the way back.
+        """A write whose answer was lost must not be repeated through a peer.
 
-        Sent again through a peer without a look, it would meet its own first
-        write as another's, or be applied twice.
+        The write took effect.  If it were repeated without reading the object first,
+        it would either conflict with itself or be applied twice.
         """
         self.platform.faults.lose_answers = 1
         with self.assertRaises(UncertainError):
@@ -74,9 +74,9 @@
         self.assertEqual((self.platform.calls["put"], self.link.calls), (1, 0))
 
     async def test_lost_reply_of_a_peer_is_looked_up(self):
-        """The peer writes, and the peer's own reply is lost.
+        """A relayed write whose reply was lost must not be applied twice.
 
-        `update` must find the write in place and not make it a second time.
+        `update` must read the object and find the write there.
         """
         self.cut("own")
         self.link.lose_next_reply = True
@@ -91,7 +91,11 @@
         self.assertEqual(self.platform.calls["put"], 1)
 
     async def test_call_is_not_passed_on_a_second_hop(self):
-        """Two routers, both cut off, would otherwise ask each other for ever."""
+        """Relayed calls must not be relayed again.
+
+        Otherwise two routers without a direct connection would call each other
+        endlessly.
+        """
         self.cut("own", "peer")
         with self.assertRaises(AnvilshiftError) as caught:
             await self.store.get("Budget", "pounds")
--- a/tests/router/test_treasury.py
+++ b/tests/router/test_treasury.py
@@ -1,4 +1,4 @@
-"""The treasury on a platform that fails: nobody overspends, nobody is told wrong."""
+"""Budgets on a failing platform: none is overspent, and callers get correct errors."""
 
 import asyncio
 import unittest
@@ -23,7 +23,7 @@
 
 
 class Bank:
-    """A platform and some routers' treasuries that ask each other for tokens."""
+    """A platform and the treasuries of several routers that exchange tokens."""
 
     def __init__(
         self, routers: int = 1, tokens: int = 1_000, allowance: int = 100
@@ -76,11 +76,11 @@
 
     @virtual
     async def test_sealed_router_bills_what_it_had_in_hand(self):
-        """A router is paused past its lease and sealed while answers end.
+        """Answers that end after their router's holder was sealed must be billed.
 
-        The callers would see "not recorded" for answers that they have read
-        to the last token.  The waking router finds its holder sealed; what
-        waited for its bill must be billed by the next holder.
+        The router was paused for longer than its lease and finds its holder sealed
+        when it resumes.  Its next holder must record the bills; otherwise callers get
+        "not recorded" for answers that they received in full.
         """
         bank = Bank(routers=2)
         await bank.open()
@@ -96,10 +96,10 @@
 
     @virtual
     async def test_sealed_in_an_outage_the_released_is_billed_once(self):
-        """The platform goes out, a router ends an answer within its allowance.
+        """An answer completed within the allowance must be billed exactly once.
 
-        It is then held for lost and sealed before its bill is recorded.  The
-        answer is with the caller: it must be billed, and only once.
+        The platform is unreachable when the answer ends, and the router is taken for
+        lost and sealed before its bill is recorded.
         """
         bank = Bank(routers=2)
         await bank.open()
@@ -119,7 +119,11 @@
 
     @virtual
     async def test_bill_of_a_router_that_is_cut_off_and_killed_is_recorded(self):
-        """Guards against answers whose bills nobody has but a router that ended."""
+        """The bill of a completed answer must survive the router that completed it.
+
+        The router reached neither the platform nor other routers when the answer
+        ended, so that no other process has the bill.
+        """
         bank = Bank(routers=2)
         await bank.open()
         first, second = bank.treasuries
@@ -133,23 +137,24 @@
 
     @virtual
     async def test_broken_account_freezes_and_others_go_on(self):
-        """An operator's script writes an account that has more spent than it had.
+        """An invalid account must stop only its own budget.
 
-        Every budget of the router would stop without a word, because the task
-        that commits has ended.  Only the broken one may stop.
+        An operator's script writes an account that has spent more than its total.
+        If that ended the task that commits, every budget of the router would stop
+        without an error.
         """
         bank = Bank()
         await bank.open()
         treasury = bank.treasuries[0]
         await ledgers.top_up(bank.store, "drums", "invoice", 500)
 
-        def spoil(body):
+        def overspend(body):
             ledger = decode(Ledger, body)
             body = encode(ledger)
             body["accounts"]["pounds"]["spent"] = 5_000
             return body
 
-        await update(bank.store, LEDGER_KIND, LEDGER_NAME, spoil)
+        await update(bank.store, LEDGER_KIND, LEDGER_NAME, overspend)
         error = await self.refused(bank.spend(treasury, "a", 10))
         self.assertEqual(error.code, BUDGET_FROZEN)
         await treasury.reserve("drums", "b", 10)
@@ -157,10 +162,10 @@
 
     @virtual
     async def test_last_tokens_are_within_reach_of_every_router(self):
-        """A small budget is drawn on through five routers.
+        """A small budget must be usable in full through any router.
 
-        A franchisee would be told that its budget is spent while most of it
-        lies in the grants of routers that nobody asks.
+        Other routers hold most of it in their grants.  If they were not asked to
+        return unused tokens, the budget would be reported as exhausted.
         """
         bank = Bank(routers=5, tokens=1_000, allowance=100)
         await bank.open()
@@ -172,7 +177,10 @@
 
     @virtual
     async def test_many_requests_short_at_once_are_all_paid(self):
-        """An opening burst finds the grant empty: ten requests wait at once."""
+        """Requests that wait at the same time for a larger grant must all get tokens.
+
+        A burst finds the grant empty.
+        """
         bank = Bank(tokens=10_000)
         await bank.open()
         work = [bank.spend(bank.treasuries[0], f"k{n}", 400) for n in range(20)]
@@ -181,7 +189,7 @@
 
     @virtual
     async def test_exhausted_budget_costs_no_write_a_request(self):
-        """A franchisee's callers go on calling after the budget is spent."""
+        """Requests to an exhausted budget must be refused without a write each."""
         bank = Bank(routers=2, tokens=300, allowance=0)
         await bank.open()
         first = bank.treasuries[0]
@@ -200,7 +208,10 @@
 
     @virtual
     async def test_unreachable_is_not_called_exhausted(self):
-        """The rest of a budget is reserved by work in flight elsewhere."""
+        """Tokens reserved by requests at another router may become free again.
+
+        The error must therefore be *unreachable*, with a retry delay.
+        """
         bank = Bank(routers=2, tokens=300, allowance=0)
         await bank.open()
         first, second = bank.treasuries
@@ -211,28 +222,31 @@
 
     @virtual
     async def test_bill_that_fits_nowhere_ends_before_the_deadline(self):
-        """The platform is out and the allowance is used up.
+        """A bill that can't be recorded must fail before the deadline.
 
-        The caller must hear at its deadline that the work ran and its bill
-        isn't recorded, not that nothing is known.
+        The platform is unreachable and the allowance is too small.  The caller must
+        learn that the work ran and its bill isn't recorded, instead of an unknown
+        outcome.
         """
         bank = Bank(allowance=50)
         await bank.open()
         treasury = bank.treasuries[0]
         await treasury.reserve("pounds", "a", 80)
         bank.store.faults.outage = True
-        began = VirtualClock().now()
-        settling = treasury.settle("pounds", "a", "kosice", 80, until=began + 3_000)
+        started_at = VirtualClock().now()
+        settling = treasury.settle(
+            "pounds", "a", "kosice", 80, until=started_at + 3_000
+        )
         error = await self.refused(settling)
         self.assertEqual(error.code, NOT_RECORDED)
-        self.assertLess(VirtualClock().now(), began + 3_000)
+        self.assertLess(VirtualClock().now(), started_at + 3_000)
         bank.store.faults.outage = False
         await asyncio.sleep(3)
         self.assertEqual(bank.account.spent, 80)
 
     @virtual
     async def test_slow_platform_does_not_hold_the_end_of_an_answer(self):
-        """The platform answers after seconds but never fails."""
+        """A platform that answers only after seconds must not delay an answer."""
         bank = Bank()
         await bank.open()
         treasury = bank.treasuries[0]
@@ -242,13 +256,13 @@
             await asyncio.sleep(5)
 
         bank.store.faults.after = wait
-        began = VirtualClock().now()
+        started_at = VirtualClock().now()
         await treasury.settle("pounds", "a", "kosice", 80)
-        self.assertLess(VirtualClock().now() - began, 500)
+        self.assertLess(VirtualClock().now() - started_at, 500)
 
     @virtual
     async def test_lost_answers_bill_and_close_once(self):
-        """Every answer of the platform is lost once, that to the close as well."""
+        """Writes whose answers were lost must not bill or close twice."""
         bank = Bank()
         await bank.open()
         treasury = bank.treasuries[0]
@@ -267,13 +281,16 @@
         await asyncio.sleep(10)
         await bank.treasuries[0].reserve("pounds", "b", 10)
         await asyncio.sleep(2 * SPACING / 1_000)
-        began = VirtualClock().now()
+        started_at = VirtualClock().now()
         await bank.treasuries[0].settle("pounds", "b", "kosice", 10)
-        self.assertEqual(VirtualClock().now(), began)
+        self.assertEqual(VirtualClock().now(), started_at)
 
     @virtual
     async def test_orphaned_grant_comes_back(self):
-        """A router dies before its first record, so that nobody knows it."""
+        """The grant of a router that died before its first record must be returned.
+
+        Such a router is on no roster.
+        """
         bank = Bank(routers=2, allowance=0)
         await bank.open()
         await bank.treasuries[0].reserve("pounds", "a", 300)
@@ -284,7 +301,7 @@
 
     @virtual
     async def test_top_up_reaches_routers_on_both_sides_of_a_cut(self):
-        """A budget is topped up while one router can't reach the platform."""
+        """A router that couldn't reach the platform must use a top-up afterwards."""
         bank = Bank(routers=2, tokens=200)
         await bank.open()
         first, second = bank.treasuries
@@ -301,10 +318,11 @@
 
     @virtual
     async def test_crumbs_of_all_pay_for_one_of_those_who_wait(self):
-        """The last tokens lie in crumbs in three routers, and all three want more.
+        """One of several waiting requests must get the remaining tokens of a budget.
 
-        A clerk is refused a quote that the budget could pay, because each
-        router keeps its crumb for its own request.
+        Three routers hold small remainders, and a request waits at each of them.  If
+        each router kept its remainder for its own request, all three would be refused
+        although the budget could pay for one.
         """
         bank = Bank(routers=3, tokens=300, allowance=0)
         await bank.open()
@@ -331,10 +349,10 @@
 
     @virtual
     async def test_answer_that_ends_just_before_its_deadline_is_released(self):
-        """Callers send at the last moment, and the next commit is after it.
+        """An answer that ends just before its deadline must be released in time.
 
-        The caller would be told that its bill isn't recorded, with the whole
-        answer made and read.
+        The next commit would end after the deadline.  The caller would get "not
+        recorded" for an answer that was already complete.
         """
         bank = Bank()
         await bank.open()
--- a/tests/router/test_witnesses.py
+++ b/tests/router/test_witnesses.py
@@ -1,4 +1,4 @@
-"""Copies of unrecorded bills at other routers, some of which have ended."""
+"""Copies of unrecorded bills at other routers, some of which have stopped."""
 
 import unittest
 
@@ -21,7 +21,7 @@
 
 
 class Routers:
-    """Five routers that have all heard each other; some are dead since."""
+    """Five routers that have heard each other, and some of which are dead now."""
 
     def __init__(self):
         self.clock = VirtualClock()
@@ -44,7 +44,7 @@
         return KeepReply(kept=kept)
 
     def list_keepers(self, holder="r1-a"):
-        return {n for n, copies in self.copies.items() if copies.list(holder)}
+        return {name for name, copies in self.copies.items() if copies.list(holder)}
 
 
 class WitnessesTest(VirtualTestCase):
@@ -52,7 +52,11 @@
         self.routers = Routers()
 
     async def test_copies_go_to_others_than_the_witness_and_the_dead(self):
-        """Guards against a bill that only its holder and its witness have."""
+        """Two live routers other than the witness must get copies.
+
+        Otherwise only the holder and its witness have the bill, and it is lost with
+        them.
+        """
         for dead in NAMES[1:]:
             for witness in NAMES[1:]:
                 self.routers = Routers()
@@ -69,14 +73,17 @@
         self.assertFalse(await keeping)
 
     async def test_router_that_stops_hands_its_copies_on(self):
-        """Guards against a bill that goes with its witness's planned stop."""
+        """A router that stops must pass on the copies that it keeps as a witness."""
         copies = self.routers.copies["r2"]
         copies.add("r1-a", BILLS, witness="r2-a")
         await self.routers.make("r2").hand_on(copies)
         self.assertEqual(len(self.routers.list_keepers() - {"r1", "r2"}), 2)
 
     async def test_router_that_has_handed_its_copies_on_takes_no_more(self):
-        """Guards against a copy that comes between the handing on and the end."""
+        """A router that has passed on its copies must not accept new ones.
+
+        A copy accepted between that and its stop would be lost.
+        """
         copies = self.routers.copies["r2"]
         await self.routers.make("r2").hand_on(copies)
         self.assertFalse(copies.add("r1-a", BILLS, witness="r2-a"))
