--- a/anvilshift/router/dispatching.py
+++ b/anvilshift/router/dispatching.py
@@ -1,4 +1,4 @@
-"""Run the dispatcher on a real loop: futures for callers, a timer for ticks."""
+"""Run the dispatcher on an event loop: futures for callers, a timer for its ticks."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -20,77 +20,77 @@
     Work,
 )
 
-_HELD_UP: Millis = 50.0
-"""A timer that fires so late shows that this process stood still."""
+_STALL_THRESHOLD: Millis = 50.0
+"""A timer that fires later than this shows that the process was paused or blocked."""
 
 
-async def _agree_to_nothing(ask: Ask) -> bool:
+async def _refuse_relocation(ask: Ask) -> bool:
     return False
 
 
 class DispatchLoop:
-    """Hand the dispatcher's actions to the requests that they are for.
+    """Pass the dispatcher's actions to the requests that they concern.
 
     Attributes
     ----------
     announce
-        Called with what the other routers must hear at once.
+        Called with each announcement that the other routers must receive at once.
     relocate
-        Asks the other routers whether a content may go to a target; what it returns
-        is in force at once.
+        Asks the other routers whether a content may be sent to a target; the result
+        takes effect at once.
     at_change
-        Called after every change of what waits or runs.
+        Called whenever the waiting or running work may have changed.
     """
 
     def __init__(self, dispatcher: Dispatcher, clock: Clock) -> None:
         self.dispatcher = dispatcher
-        self.announce: Callable[[Announce], None] = lambda news: None
+        self.announce: Callable[[Announce], None] = lambda announcement: None
         self.at_change: Callable[[], None] = lambda: None
-        self.relocate: Callable[[Ask], Awaitable[bool]] = _agree_to_nothing
-        self._asking: set[asyncio.Task[None]] = set()
+        self.relocate: Callable[[Ask], Awaitable[bool]] = _refuse_relocation
+        self._ask_tasks: set[asyncio.Task[None]] = set()
         self._clock = clock
-        self._turns: dict[str, asyncio.Future[Send]] = {}
-        self._stops: dict[str, Callable[[], None]] = {}
+        self._waiters: dict[str, asyncio.Future[Send]] = {}
+        self._stop_callbacks: dict[str, Callable[[], None]] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._due: Millis = 0.0
-        self._held_until: Millis = 0.0
-        self._held = False
+        self._grace_until: Millis = 0.0
+        self._stalled = False
 
     @property
     def waiting(self) -> int:
-        """Return how many requests wait for their turn."""
-        return len(self._turns)
+        """Return how many requests wait for a target."""
+        return len(self._waiters)
 
     async def submit(self, work: Work, stop: Callable[[], None]) -> Send:
-        """Wait for a target.
+        """Submit work and wait until it is assigned to a target.
 
         Parameters
         ----------
         stop
-            Called when the dispatcher cancels the attempt; who submitted the
-            work then calls `follow`.
+            Called when the dispatcher cancels the attempt; the caller of this
+            method must then call `follow`.
 
         Raises
         ------
         AnvilshiftError
-            The refusal, with when to come back.
+            The refusal, with the time after which to retry.
         """
-        self._stops[work.identity] = stop
-        turn = self._expect(work.identity)
+        self._stop_callbacks[work.identity] = stop
+        waiter = self._add_waiter(work.identity)
         self.act(self.dispatcher.arrive(work, self._clock.now()))
-        return await self._await(work.identity, turn)
+        return await self._wait(work.identity, waiter)
 
     async def retry(self, identity: str, failure: Failure) -> Send:
-        """Report a failed attempt and wait for the next.
+        """Report a failed attempt and wait for the next target.
 
         Raises
         ------
         AnvilshiftError
             When the work is given up.
         """
-        turn = self._expect(identity)
+        waiter = self._add_waiter(identity)
         self.act(self.dispatcher.failed(identity, failure, self._clock.now()))
-        return await self._await(identity, turn)
+        return await self._wait(identity, waiter)
 
     async def follow(self, identity: str) -> Send:
         """Wait for the next target of work whose attempt was stopped.
@@ -100,43 +100,43 @@
         AnvilshiftError
             When the work is given up.
         """
-        return await self._await(identity, self._turns[identity])
+        return await self._wait(identity, self._waiters[identity])
 
     def first_token(self, identity: str) -> None:
-        """Report that an answer has begun."""
+        """Report that an answer's first token has arrived."""
         self.act(self.dispatcher.first_token(identity, self._clock.now()))
 
     def done(self, identity: str, tokens: int) -> None:
-        """Report that an answer is whole."""
-        self._stops.pop(identity, None)
+        """Report that an answer is complete."""
+        self._stop_callbacks.pop(identity, None)
         self.act(self.dispatcher.done(identity, tokens, self._clock.now()))
 
     def recorded(self, span: Millis) -> None:
-        """Report how long the end of an answer waited for its bill."""
+        """Report how long the end of an answer waited for its bill to be recorded."""
         self.dispatcher.recorded(span)
 
     def cancel(self, identity: str) -> None:
-        """Report that nobody waits for the work any more."""
-        self._stops.pop(identity, None)
+        """Report that the caller no longer waits for the work."""
+        self._stop_callbacks.pop(identity, None)
         self.act(self.dispatcher.cancel(identity, self._clock.now()))
 
-    def _expect(self, identity: str) -> asyncio.Future[Send]:
-        turn: asyncio.Future[Send] = asyncio.get_running_loop().create_future()
-        self._turns[identity] = turn
-        return turn
+    def _add_waiter(self, identity: str) -> asyncio.Future[Send]:
+        waiter: asyncio.Future[Send] = asyncio.get_running_loop().create_future()
+        self._waiters[identity] = waiter
+        return waiter
 
-    async def _await(self, identity: str, turn: asyncio.Future[Send]) -> Send:
+    async def _wait(self, identity: str, waiter: asyncio.Future[Send]) -> Send:
         try:
-            return await turn
+            return await waiter
         except asyncio.CancelledError:
             self.cancel(identity)
             raise
         finally:
-            if self._turns.get(identity) is turn:
-                del self._turns[identity]
+            if self._waiters.get(identity) is waiter:
+                del self._waiters[identity]
 
     def act(self, actions: Actions) -> None:
-        """Carry out what the dispatcher decided."""
+        """Carry out the dispatcher's actions."""
         for action in actions:
             if isinstance(action, Announce):
                 self.announce(action)
@@ -145,21 +145,21 @@
                 self._spawn(self._ask(action))
                 continue
             if isinstance(action, Cancel):
-                # The next target may follow in the same list of actions.
-                self._expect(action.identity)
-                stop = self._stops.get(action.identity)
+                # The same list of actions may also assign the next target.
+                self._add_waiter(action.identity)
+                stop = self._stop_callbacks.get(action.identity)
                 if stop is not None:
                     stop()
                 continue
-            turn = self._turns.get(action.identity)
-            if turn is None or turn.done():
+            waiter = self._waiters.get(action.identity)
+            if waiter is None or waiter.done():
                 continue
             if isinstance(action, Refuse):
-                self._stops.pop(action.identity, None)
+                self._stop_callbacks.pop(action.identity, None)
                 error = AnvilshiftError(action.code, action.detail, action.retry_after)
-                turn.set_exception(error)
+                waiter.set_exception(error)
             else:
-                turn.set_result(action)
+                waiter.set_result(action)
         self.at_change()
         self._set_timer()
 
@@ -169,17 +169,17 @@
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
-        self._asking.add(task)
-        task.add_done_callback(self._end_ask)
+        self._ask_tasks.add(task)
+        task.add_done_callback(self._finish_ask)
 
-    def _end_ask(self, task: asyncio.Task[None]) -> None:
-        self._asking.discard(task)
+    def _finish_ask(self, task: asyncio.Task[None]) -> None:
+        self._ask_tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            logging.error("a question to the others broke", exc_info=task.exception())
+            logging.error("relocation request failed", exc_info=task.exception())
 
     def close(self) -> None:
-        """Stop asking other routers."""
-        for task in self._asking:
+        """Cancel the requests to other routers."""
+        for task in self._ask_tasks:
             task.cancel()
 
     def _set_timer(self) -> None:
@@ -189,7 +189,7 @@
         now = self._clock.now()
         due = self.dispatcher.next_tick(now)
         if due is not None:
-            self._due = max(due, self._held_until)
+            self._due = max(due, self._grace_until)
             loop = asyncio.get_running_loop()
             delay = max(0.0, self._due - now) / SECOND
             self._timer = loop.call_later(delay, self._tick)
@@ -198,12 +198,12 @@
         self._timer = None
         now = self._clock.now()
         late = now - self._due
-        if late > _HELD_UP and not self._held:
-            # Answers that came while this process stood still lie unread in its
-            # sockets: judged now, healthy targets would be left and blamed.
+        if late > _STALL_THRESHOLD and not self._stalled:
+            # Answers that arrived during the pause are still unread in the sockets:
+            # a tick now would abandon attempts at healthy targets and blame them.
             logging.warning("held up ms=%.0f", late)
-            self._held, self._held_until = True, now + _HELD_UP
+            self._stalled, self._grace_until = True, now + _STALL_THRESHOLD
             self._set_timer()
             return
-        self._held = False
+        self._stalled = False
         self.act(self.dispatcher.tick(now))
--- a/anvilshift/router/runs.py
+++ b/anvilshift/router/runs.py
@@ -1,8 +1,8 @@
-"""Run model requests: one run makes one answer, whoever reads it.
+"""Run model requests: one run produces one answer, for any number of readers.
 
-A run goes on apart from its caller's connection, so that a caller whose
-connection broke reads on where it stopped.  When nobody has read for a short
-while, the run stops and its engine is told.
+A run doesn't depend on its caller's connection: a caller whose connection broke
+can reconnect and continue reading at the same position.  If a run has had no
+reader for a short time, it stops and the engine's attempt is cancelled.
 """
 
 import asyncio
@@ -31,15 +31,16 @@
 from anvilshift.router.treasury import Treasury
 
 RESUME_GRACE: Millis = 2 * SECOND
-"""How long a run with a key goes on without a reader: a caller that reconnects
-needs one address lookup and one connection, well under a second."""
+"""How long a run with an idempotency key continues without a reader.  A caller that
+reconnects needs one address lookup and one connection, well under a second."""
 _MAX_ANSWER_CHARS = 8 * 1024 * 1024
-"""An engine whose tokens grow without end is cut off before it fills the memory."""
+"""Longest answer, in characters: an engine that sends text without end must not fill
+the router's memory."""
 
 
 @dataclass
 class Shared:
-    """What every run needs of its router."""
+    """The components of a router that all its runs use."""
 
     incarnation: str
     clock: Clock
@@ -50,12 +51,12 @@
 
 
 class Run:
-    """The making of one answer.
+    """One request on its way from the reservation of tokens to the recorded bill.
 
     Parameters
     ----------
     after
-        A run of the same request that must have ended before this one begins.
+        An earlier run of the same request; this run begins when it has ended.
     on_end
         Called when the run has ended.
     """
@@ -79,37 +80,37 @@
         self._shared = shared
         self._work = work
         self._on_end = on_end
-        self._after = after
-        self._entered = False
+        self._predecessor = after
+        self._started = False
         self._progress = Progress()
         self._tokens = 0
-        self._overrun = False
-        self._heard: Millis = 0.0
-        self._begun = False
+        self._exceeds_bound = False
+        self._last_received: Millis = 0.0
+        self._has_first_token = False
         self._abandoned = False
-        self._generating: asyncio.Task[None] | None = None
+        self._generation: asyncio.Task[None] | None = None
         self._readers = 0
         self._changed = asyncio.Event()
-        self._first_token: Millis | None = None
-        self._last_token: Millis = 0.0
+        self._first_token_at: Millis | None = None
+        self._last_token_at: Millis = 0.0
         self._longest_gap: Millis = 0.0
         self._attempt: tuple[str, str] | None = None
-        self._unread: asyncio.TimerHandle | None = None
+        self._unread_timer: asyncio.TimerHandle | None = None
         loop = asyncio.get_running_loop()
-        self._task = loop.create_task(self._make())
+        self._task = loop.create_task(self._run())
 
     async def read(self, start: int) -> AsyncGenerator[str]:
-        """Yield the answer's text from a character on, until it is whole.
+        """Yield the answer's text from a character offset on, until it is complete.
 
         Raises
         ------
         AnvilshiftError
-            What ended the run early.
+            The error that ended the run, if it failed.
         """
         self._readers += 1
-        if self._unread is not None:
-            self._unread.cancel()
-            self._unread = None
+        if self._unread_timer is not None:
+            self._unread_timer.cancel()
+            self._unread_timer = None
         try:
             sent = start
             while True:
@@ -127,40 +128,40 @@
         finally:
             self._readers -= 1
             if not self._readers and not self.ended:
-                self._watch_unread()
+                self._start_unread_timer()
 
-    def _watch_unread(self) -> None:
+    def _start_unread_timer(self) -> None:
         grace = RESUME_GRACE if self.job.keyed else 0.0
         loop = asyncio.get_running_loop()
-        self._unread = loop.call_later(grace / SECOND, self.stop)
+        self._unread_timer = loop.call_later(grace / SECOND, self.stop)
 
     def stop(self) -> None:
-        """End the run; no more tokens are made for it."""
+        """Stop the run and cancel its attempt at the engine."""
         self._task.cancel()
 
     @property
     def over(self) -> bool:
-        """Tell whether this run and those that it waited for have ended."""
-        return self.ended and (self._after is None or self._after.over)
+        """Tell whether this run and all earlier runs that it waits for have ended."""
+        return self.ended and (self._predecessor is None or self._predecessor.over)
 
     async def wait_ended(self) -> None:
-        """Wait until the run has ended, whatever came of it."""
-        if self._after is not None:
-            await self._after.wait_ended()
+        """Wait until the run has ended, with success or an error."""
+        if self._predecessor is not None:
+            await self._predecessor.wait_ended()
         await asyncio.wait([self._task])
 
-    async def _make(self) -> None:
+    async def _run(self) -> None:
         shared, job = self._shared, self.job
         try:
-            if self._after is not None:
-                await self._after.wait_ended()
-                self._after = None
-            self._entered = True
+            if self._predecessor is not None:
+                await self._predecessor.wait_ended()
+                self._predecessor = None
+            self._started = True
             async with asyncio.timeout((job.deadline - shared.clock.now()) / SECOND):
                 await shared.treasury.reserve(
                     job.organisation.budget, job.bill_key, job.bound
                 )
-                await self._attempt_until_whole()
+                await self._attempt_until_complete()
                 await self._settle()
         except AnvilshiftError as error:
             self.error = self._progress.tell(error)
@@ -177,9 +178,9 @@
 
     def _end(self) -> None:
         shared, job = self._shared, self.job
-        if self._entered:
+        if self._started:
             shared.treasury.release(job.organisation.budget, job.bill_key)
-        if self._entered and self.error is not None:
+        if self._started and self.error is not None:
             shared.dispatch.cancel(job.identity)
             self._cancel_attempt()
         self.ended = True
@@ -208,9 +209,9 @@
             target, attempt = self._attempt
             self._shared.targets.cancel(target, attempt)
 
-    async def _attempt_until_whole(self) -> None:
+    async def _attempt_until_complete(self) -> None:
         dispatch = self._shared.dispatch
-        send = await dispatch.submit(self._work, self._abandon)
+        send = await dispatch.submit(self._work, self._abandon_attempt)
         waited = self._shared.clock.now() - self.job.arrived
         self._shared.telemetry.record_queue(
             self.job.organisation.name, self.job.route.request_class, waited
@@ -223,29 +224,29 @@
                 send = await dispatch.follow(self.job.identity)
                 continue
             except TargetError as error:
-                self._note_failure(send, error)
+                self._record_failure(send, error)
                 failure = error.failure
             if failure in NEVER_RAN:
                 self._progress.sent = sent_before
             send = await dispatch.retry(self.job.identity, failure)
 
-    def _abandon(self) -> None:
-        """Stop the attempt under way; the run goes on at another target."""
-        if self._generating is not None:
+    def _abandon_attempt(self) -> None:
+        """Stop the current attempt; the run continues at another target."""
+        if self._generation is not None:
             self._abandoned = True
-            self._generating.cancel()
+            self._generation.cancel()
 
     async def _generate_unless_abandoned(self, send: Send) -> bool:
-        """Make the answer; False when the attempt was abandoned."""
+        """Generate the answer; False if the attempt was abandoned."""
         loop = asyncio.get_running_loop()
         self._abandoned = False
-        self._generating = loop.create_task(self._generate(send))
+        self._generation = loop.create_task(self._generate(send))
         try:
-            await self._generating
+            await self._generation
             return True
         except asyncio.CancelledError:
             task = asyncio.current_task()
-            # The run itself may be stopped at the same time.
+            # The run itself may have been cancelled at the same time.
             if not self._abandoned or (task is not None and task.cancelling()):
                 raise
             self._cancel_attempt()
@@ -255,9 +256,9 @@
             )
             return False
         finally:
-            self._generating = None
+            self._generation = None
 
-    def _note_failure(self, send: Send, error: TargetError) -> None:
+    def _record_failure(self, send: Send, error: TargetError) -> None:
         if isinstance(error, LateAnswerError):
             self._shared.telemetry.count_event("late_answer")
         logging.warning(
@@ -271,77 +272,79 @@
         job = self.job
         attempt = digest(job.identity, self.tag, str(send.attempt))
         self._attempt = (send.target, attempt)
-        self._begun = False
+        self._has_first_token = False
         engine = self._shared.targets.engine(send.target)
         if engine is None:
-            raise TargetError(Failure.NOT_SENT, "the target is gone")
+            raise TargetError(Failure.NOT_SENT, "the target is no longer declared")
         call = ModelCall(attempt, job.body or {}, send.priority, self.text.whole())
         timeout = job.deadline - self._shared.clock.now()
-        # Set before the first byte can leave: work that the deadline cuts off
-        # in its midst must not be told "not run".
+        # Set before the first byte can be sent: if the deadline passes while the
+        # work runs, the error must not say "not run".
         self._progress.sent = True
-        self._heard = self._shared.clock.now()
-        with watch(lambda: self._is_silent(send.target)) as guard:
+        self._last_received = self._shared.clock.now()
+        with watch(lambda: self._is_silent(send.target)) as silence_timeout:
             async with (
-                guard,
+                silence_timeout,
                 engine.generate(call, timeout) as batches,
                 contextlib.aclosing(batches),
             ):
-                await self._take_all(batches)
+                await self._process_all(batches)
 
     def _is_silent(self, target: str) -> bool:
-        """Tell whether an engine has stopped answering, here and elsewhere."""
-        if self._shared.clock.now() - self._heard < WATCH:
+        """Tell whether an engine answers neither this attempt nor its polls."""
+        if self._shared.clock.now() - self._last_received < WATCH:
             return False
         return self._shared.targets.is_silent(target)
 
-    async def _take_all(self, batches: AsyncGenerator[list[Piece]]) -> None:
+    async def _process_all(self, batches: AsyncGenerator[list[Piece]]) -> None:
         async for batch in batches:
-            self._take(batch)
+            self._process_batch(batch)
             if len(self.text) > _MAX_ANSWER_CHARS:
-                raise TargetError(Failure.BROKE_OFF, "the answer is over the limit")
-            if self._overrun:
-                # The engine makes more than was asked for and reserved.
+                raise TargetError(
+                    Failure.BROKE_OFF, "the answer exceeds the length limit"
+                )
+            if self._exceeds_bound:
+                # The engine sends more tokens than were requested and reserved.
                 self._cancel_attempt()
                 self.finish = "length"
                 return
 
-    def _take(self, batch: list[Piece]) -> None:
-        now = self._heard = self._shared.clock.now()
+    def _process_batch(self, batch: list[Piece]) -> None:
+        now = self._last_received = self._shared.clock.now()
         grown = False
         for piece in batch:
             if piece.text and self._tokens >= self.job.answer_bound:
-                self._overrun = True
+                self._exceeds_bound = True
             elif piece.text:
                 grown = True
                 self.text.append(piece.text)
                 self._tokens += piece.tokens
             self.usage = piece.usage or self.usage
             self.finish = piece.finish or self.finish
-        # What arrived together reaches the caller together: a batch is one wait.
+        # A batch reaches the caller as a whole, so its pieces count as one wait.
         if grown:
-            self._count_wait(now)
+            self._record_token_time(now)
         self._changed.set()
 
-    def _count_wait(self, now: Millis) -> None:
-        if not self._begun:
-            self._begun = True
+    def _record_token_time(self, now: Millis) -> None:
+        if not self._has_first_token:
+            self._has_first_token = True
             self._shared.dispatch.first_token(self.job.identity)
-        if self._first_token is None:
+        if self._first_token_at is None:
             telemetry, job = self._shared.telemetry, self.job
             span = now - job.arrived
             telemetry.record_first(job.organisation.name, job.route.request_class, span)
-            self._first_token = now
+            self._first_token_at = now
         else:
-            self._longest_gap = max(self._longest_gap, now - self._last_token)
-        self._last_token = now
+            self._longest_gap = max(self._longest_gap, now - self._last_token_at)
+        self._last_token_at = now
 
     def _record_gaps(self) -> None:
-        # Once for an answer: a record for every token took a third of the
-        # processor of a router that streams.
-        if self._first_token is None or self._tokens < 2:
+        # Gaps are recorded once per answer: recording one for every token took a
+        # third of the CPU time of a router that streams.
+        if self._first_token_at is None or self._tokens < 2:
             return
-        mean = (self._last_token - self._first_token) / (self._tokens - 1)
+        mean = (self._last_token_at - self._first_token_at) / (self._tokens - 1)
         self._shared.telemetry.record_gaps(
             self.job.organisation.name,
             self.job.route.request_class,
@@ -353,7 +356,7 @@
         job, treasury = self.job, self._shared.treasury
         self._progress.ran = True
         self._shared.dispatch.done(job.identity, self._tokens)
-        self.usage = self._bound_usage()
+        self.usage = self._limit_usage()
         began = self._shared.clock.now()
         await treasury.settle(
             job.organisation.budget,
@@ -367,12 +370,12 @@
         organisation, kind = job.organisation.name, job.route.request_class
         self._shared.telemetry.record_bill(organisation, kind, waited)
 
-    def _bound_usage(self) -> Usage:
-        """Return what to bill: the engine's count, within what was reserved.
+    def _limit_usage(self) -> Usage:
+        """Return the usage to bill: the engine's count, limited to the reservation.
 
-        An engine that counts wrongly must neither overspend the budget nor,
-        with a negative count, hand tokens out; the caller's reservation is the
-        most that is ever billed.
+        An engine that reports wrong counts must neither overspend the budget nor
+        add tokens to it with a negative count; no request is billed for more than
+        was reserved for it.
         """
         job = self.job
         counted = self.usage or Usage(job.prompt_bound, self._tokens)
--- a/anvilshift/router/targets.py
+++ b/anvilshift/router/targets.py
@@ -1,4 +1,4 @@
-"""The adapters of the targets in force, and polls of what they report."""
+"""Keep the adapters of the declared targets and poll the engines for reports."""
 
 import asyncio
 from collections import Counter
@@ -17,17 +17,17 @@
 from anvilshift.wire.client import ExchangeError
 
 REPORT_INTERVAL: Millis = 250.0
-_EVENTS_EVERY = 4
-"""Rounds between two reads of an engine's cache events.  These come late and
-with gaps anyway; asking for load and events in every round took two fifths of
-a quiet router's processor."""
-_SILENCE: Millis = 1_500.0
-"""An engine is asked every 250 ms and given a second: one that works has
-answered within this span."""
+_POLLS_PER_EVENT_READ = 4
+"""Number of polls per read of an engine's cache events.  Events are late and
+incomplete in any case; reading load and events in every poll took two fifths of
+an idle router's CPU time."""
+_SILENCE_THRESHOLD: Millis = 1_500.0
+"""Time without an answer after which an engine counts as silent.  Engines are polled
+every 250 ms with a timeout of one second, so a working engine answers within it."""
 
 
 class Targets:
-    """Every declared target with its adapter."""
+    """The adapters of all declared targets."""
 
     def __init__(self, connector: Connector, clock: Clock) -> None:
         self._connector = connector
@@ -35,13 +35,13 @@
         self._engines: dict[str, ModelEngine] = {}
         self._services: dict[str, PlainService] = {}
         self._declared: dict[str, Engine] = {}
-        self._sequences: dict[str, int] = {}
-        self._rounds: Counter[str] = Counter()
-        self._answered: dict[str, Millis] = {}
+        self._event_sequences: dict[str, int] = {}
+        self._poll_counts: Counter[str] = Counter()
+        self._answered_at: dict[str, Millis] = {}
         self._background: set[asyncio.Task[None]] = set()
 
     def configure(self, catalogue: Catalogue) -> None:
-        """Make adapters for what is declared now."""
+        """Create adapters for the targets of a new catalogue."""
         engines: dict[str, ModelEngine] = {}
         services: dict[str, PlainService] = {}
         declared: dict[str, Engine] = {}
@@ -53,30 +53,34 @@
                 else:
                     services[engine.name] = self._connector.service(engine)
         now = self._clock.now()
-        self._answered = {name: self._answered.get(name, now) for name in engines}
+        self._answered_at = {name: self._answered_at.get(name, now) for name in engines}
         self._engines, self._services = engines, services
-        self._rounds = Counter({n: self._rounds[n] for n in engines})
+        self._poll_counts = Counter({n: self._poll_counts[n] for n in engines})
         self._declared = declared
 
     def engine(self, name: str) -> ModelEngine | None:
-        """Return the adapter of a model engine."""
+        """Return the adapter of a model engine, or None if it isn't declared."""
         return self._engines.get(name)
 
     def service(self, name: str) -> PlainService | None:
-        """Return the adapter of a plain service."""
+        """Return the adapter of a plain service, or None if it isn't declared."""
         return self._services.get(name)
 
     def is_silent(self, name: str) -> bool:
-        """Tell whether an engine has not answered its polls since some time.
+        """Tell whether an engine has left its polls unanswered for too long.
 
-        One that never answered counts from when it was declared: paused before its
-        first answer, it would otherwise keep every request until its deadline.
+        For an engine that has never answered, the time runs from its declaration:
+        otherwise, one that was paused before its first answer would hold every
+        request until the request's deadline.
         """
-        answered = self._answered.get(name)
-        return answered is not None and self._clock.now() - answered > _SILENCE
+        answered_at = self._answered_at.get(name)
+        return (
+            answered_at is not None
+            and self._clock.now() - answered_at > _SILENCE_THRESHOLD
+        )
 
     def cancel(self, name: str, attempt: str) -> None:
-        """Tell an engine in the background that nobody waits for an attempt."""
+        """Cancel an attempt at an engine, in the background."""
         engine = self._engines.get(name)
         if engine is not None:
             self._spawn(engine.cancel(attempt))
@@ -92,10 +96,10 @@
         take_event: Callable[[CacheEvent], None],
         take_refusal: Callable[[str], None],
     ) -> None:
-        """Read every engine's reports again and again.
+        """Poll every engine's load and cache events until cancelled.
 
-        One poll an engine is under way: an engine that hangs must not make the
-        reports of all the others late.
+        Each engine has a poll of its own, at most one at a time, so that an engine
+        that hangs doesn't delay the reports of the others.
         """
         polls: dict[str, asyncio.Task[None]] = {}
         try:
@@ -112,9 +116,9 @@
             for task in polls.values():
                 task.cancel()
 
-    def _note_answer(self, name: str) -> None:
-        if name in self._answered:
-            self._answered[name] = self._clock.now()
+    def _record_answer(self, name: str) -> None:
+        if name in self._answered_at:
+            self._answered_at[name] = self._clock.now()
 
     async def _poll_one(
         self,
@@ -126,18 +130,20 @@
     ) -> None:
         try:
             report = await engine.load()
-            self._note_answer(name)
+            self._record_answer(name)
             take_report(replace(report, as_of=self._clock.now() - report.as_of))
-            if self._rounds[name] % _EVENTS_EVERY == 0:
-                for event in await engine.cache_events(self._sequences.get(name, 0)):
-                    self._sequences[name] = event.sequence
+            if self._poll_counts[name] % _POLLS_PER_EVENT_READ == 0:
+                for event in await engine.cache_events(
+                    self._event_sequences.get(name, 0)
+                ):
+                    self._event_sequences[name] = event.sequence
                     take_event(event)
-            self._rounds[name] += 1
+            self._poll_counts[name] += 1
         except TargetError as error:
             logging.debug("no report engine=%s %s", name, error)
             if not isinstance(error.__cause__, ExchangeError):
-                # It answered, only not with a report.
-                self._note_answer(name)
+                # The engine responded, though without a report.
+                self._record_answer(name)
             if error.failure is Failure.NOT_SENT:
                 take_refusal(name)
         except AnvilshiftError as error:
