--- a/anvilshift/router/fates.py
+++ b/anvilshift/router/fates.py
@@ -1,4 +1,4 @@
-"""Say truthfully what became of work whose attempt ended in an error."""
+"""Choose errors that state correctly whether the work of a request ran."""
 
 from anvilshift.core.errors import (
     ANSWER_LATE,
@@ -11,7 +11,7 @@
 
 
 class Progress:
-    """How far the work of one request has come, over all its attempts.
+    """Whether the work of one request was sent and has run, over all its attempts.
 
     Examples
     --------
@@ -29,10 +29,11 @@
         self.ran = False
 
     def tell(self, error: AnvilshiftError) -> AnvilshiftError:
-        """Return the error, or one that claims no less than what happened.
+        """Return the error, or one whose fate is true for all attempts.
 
-        A refusal of the second attempt, for want of an engine, tokens or time,
-        says *not run*; the first attempt may have run all the same.
+        If the second attempt is refused because there is no engine, too few tokens
+        or too little time, the refusal says *not run*, although the first attempt
+        may have run.
         """
         if self.ran and error.code.fate is not Fate.RAN:
             return AnvilshiftError(NOT_RECORDED, error.detail, error.retry_after)
@@ -41,6 +42,6 @@
         return error
 
     def tell_late(self) -> AnvilshiftError:
-        """Return the error of work whose deadline passed."""
+        """Return the error for work whose deadline has passed."""
         code = ANSWER_LATE if self.sent else PAST_DEADLINE
         return self.tell(AnvilshiftError(code))
--- a/anvilshift/router/gate.py
+++ b/anvilshift/router/gate.py
@@ -1,4 +1,4 @@
-"""Find out who calls and what they may use."""
+"""Authenticate callers and find the targets that they may use."""
 
 import hashlib
 import hmac
@@ -11,14 +11,15 @@
 from anvilshift.router.requests import Job
 from anvilshift.wire.messages import HttpRequest
 
-_SCHEME = "bearer "
+_AUTH_SCHEME = "bearer "
 BILL_TIME: Millis = 120.0
-"""Time before the deadline by which a target must have answered: an answer's
-end waits for its bill, or for the witness of its early release."""
+"""Time before the deadline by which a target must have answered.  The end of the
+answer then waits until its bill is recorded or, for an early release, until the
+witness has a copy."""
 
 
 def hash_token(token: str) -> str:
-    """Return the form in which a token is kept.
+    """Return the SHA-256 hash under which a token is stored.
 
     Examples
     --------
@@ -29,33 +30,33 @@
 
 
 def read_token(request: HttpRequest) -> str:
-    """Return the bearer token of a request, or an empty string."""
+    """Return the bearer token of a request, or an empty string if it has none."""
     value = request.headers.get("authorization") or ""
-    if value[: len(_SCHEME)].lower() != _SCHEME:
+    if value[: len(_AUTH_SCHEME)].lower() != _AUTH_SCHEME:
         return ""
-    return value[len(_SCHEME) :].strip()
+    return value[len(_AUTH_SCHEME) :].strip()
 
 
 def check_token(request: HttpRequest, expected: str) -> bool:
-    """Tell in constant time whether a request carries the token of a hash."""
+    """Tell whether a request's token has an expected hash; compare in constant time."""
     token = hash_token(read_token(request))
     return bool(expected) and hmac.compare_digest(token, expected)
 
 
 class Gate:
-    """The catalogue in force, with organisations found by credential."""
+    """The current catalogue, with an index of organisations by credential."""
 
     def __init__(self) -> None:
         self.catalogue = Catalogue()
         self._by_credential: dict[str, Organisation] = {}
         self._candidates: dict[tuple[str, str], dict[str, int]] = {}
-        self._shared: dict[frozenset[tuple[str, int]], dict[str, int]] = {}
+        self._distinct_candidates: dict[frozenset[tuple[str, int]], dict[str, int]] = {}
 
     def configure(self, catalogue: Catalogue) -> None:
-        """Take in a new catalogue."""
+        """Replace the catalogue and rebuild the index."""
         self.catalogue = catalogue
         self._candidates.clear()
-        self._shared.clear()
+        self._distinct_candidates.clear()
         self._by_credential = {
             credential: organisation
             for organisation in catalogue.organisations.values()
@@ -65,13 +66,13 @@
     def authenticate(self, request: HttpRequest) -> Organisation:
         """Return the calling organisation.
 
-        The look-up is by the token's hash, so its timing tells nothing of the
+        The lookup uses the token's hash, so its timing reveals nothing about the
         token itself.
 
         Raises
         ------
         AnvilshiftError
-            Code 1004 without a valid credential.
+            Code 1004 if the request has no valid credential.
         """
         token = read_token(request)
         found = self._by_credential.get(hash_token(token)) if token else None
@@ -84,7 +85,7 @@
         return self.catalogue.routes.get(name)
 
     def make_work(self, job: Job) -> Work:
-        """Return what the dispatcher needs of a job."""
+        """Return the work that the dispatcher schedules for a job."""
         return Work(
             identity=job.identity,
             organisation=job.organisation.name,
@@ -101,9 +102,10 @@
         )
 
     def renew(self, work: Work) -> Work:
-        """Return work with the candidates that are declared for it now.
+        """Return work with its candidates from the current catalogue.
 
-        Work that waits through a change would else be sent by the old ones.
+        Otherwise, work that waits while the catalogue changes would be sent to the
+        old candidates.
         """
         organisation = self.catalogue.organisations.get(work.organisation)
         route = self.find_route(work.route)
@@ -114,13 +116,15 @@
     def _list_candidates(
         self, organisation: Organisation, route: Route
     ) -> dict[str, int]:
-        # Organisations with the same candidates share one object: the
-        # dispatcher knows it again by its identity, and ten thousand pairs of
-        # organisation and route cost no more than the few distinct ones.
+        # Organisations with the same candidates share one dictionary.  The
+        # dispatcher recognises it by object identity, so ten thousand pairs of
+        # organisation and route cost no more than the few distinct dictionaries.
         key = organisation.name, route.name
         if key not in self._candidates:
             found = self.catalogue.candidates(organisation, route)
             fresh = {c.engine.name: c.priority for c in found}
-            shared = self._shared.setdefault(frozenset(fresh.items()), fresh)
+            shared = self._distinct_candidates.setdefault(
+                frozenset(fresh.items()), fresh
+            )
             self._candidates[key] = shared
         return self._candidates[key]
--- a/anvilshift/router/operations.py
+++ b/anvilshift/router/operations.py
@@ -1,4 +1,4 @@
-"""The operator's port: health, metrics, status, drain."""
+"""The HTTP endpoints for operators: health, metrics, status and drain."""
 
 from collections.abc import Callable
 from typing import Any
@@ -10,16 +10,17 @@
 from anvilshift.wire.messages import JSON_TYPE, HttpRequest, Reply
 from anvilshift.wire.server import Responder
 
-_TEXT = ("content-type", "text/plain; version=0.0.4")
+_TEXT_TYPE = ("content-type", "text/plain; version=0.0.4")
 
 
 class OperatorPort:
-    """Answer operators and their monitoring.
+    """Answer requests from operators and their monitoring.
 
     Parameters
     ----------
     credential
-        SHA-256 of the operators' token; without one the verbs are refused.
+        SHA-256 hash of the operators' token.  If it is empty, `/status` and `/drain`
+        are refused.
     """
 
     def __init__(
@@ -37,19 +38,21 @@
         self._drain = drain
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
-        """Answer one request."""
+        """Answer one HTTP request."""
         await responder.send(self._answer(request))
 
     def _answer(self, request: HttpRequest) -> Reply:
         if request.path == "/healthz":
-            return Reply(200, [_TEXT], b"alive\n")
+            return Reply(200, [_TEXT_TYPE], b"alive\n")
         if request.path == "/readyz":
             ready = self._ready()
             return Reply(
-                200 if ready else 503, [_TEXT], b"ready\n" if ready else b"not ready\n"
+                200 if ready else 503,
+                [_TEXT_TYPE],
+                b"ready\n" if ready else b"not ready\n",
             )
         if request.path == "/metrics":
-            return Reply(200, [_TEXT], self._telemetry.render())
+            return Reply(200, [_TEXT_TYPE], self._telemetry.render())
         if not check_token(request, self._credential):
             raise AnvilshiftError(FORBIDDEN)
         if request.path == "/status":
--- a/anvilshift/router/orders.py
+++ b/anvilshift/router/orders.py
@@ -1,4 +1,4 @@
-"""Give orders to engines while this router owns them."""
+"""Send orders to engines while this router is the owner of orders."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,18 +23,18 @@
 
 OWNER_KIND = "OrderOwner"
 OWNER_NAME = "main"
-_ROUND: Millis = 1 * SECOND
-"""Between two looks at what the engines have, and two reads of the owner."""
-_AT_ONCE = 16
+_CHECK_INTERVAL: Millis = 1 * SECOND
+"""Interval between two checks of the engines' states and of the owner."""
+_MAX_CONCURRENT = 16
 
 
 class Orders:
-    """One router's part in giving orders.
+    """Send orders to engines if this router owns them, or take them over if due.
 
     Parameters
     ----------
     find
-        Returns an engine's adapter by name.
+        Returns the adapter of an engine by its name, or None.
     """
 
     def __init__(
@@ -47,37 +47,37 @@
         self._store = store
         self._clock = clock
         self._fleet = fleet
-        self._find = find
+        self._find_engine = find
         self._assignments: list[Assignment] = []
-        self._wait_until: Millis = 0.0
-        self._at_once = asyncio.Semaphore(_AT_ONCE)
+        self._takeover_ends: Millis = 0.0
+        self._concurrency = asyncio.Semaphore(_MAX_CONCURRENT)
         self.ownership = Ownership()
 
     @property
     def owns(self) -> bool:
-        """Tell whether this router owned the orders when it last looked."""
+        """Tell whether this router owned the orders when it last read the owner."""
         return self.ownership.owner == self._fleet.member.incarnation
 
     def configure(self, catalogue: Catalogue) -> None:
-        """Take in what the engines shall have."""
+        """Set the desired states of the engines from a new catalogue."""
         self._assignments = list_assignments(catalogue)
 
     async def run(self) -> None:
-        """Look again and again at who owns the orders, and give them."""
+        """Check the owner at intervals and send orders if it is this router."""
         while True:
-            await asyncio.sleep(_ROUND / SECOND)
+            await asyncio.sleep(_CHECK_INTERVAL / SECOND)
             if not self._assignments or not self._fleet.may_serve():
                 continue
-            # Only the owner and whoever would follow it ask the platform.
-            if not self.owns and not is_first(self._fleet.member, self._present()):
+            # Only the owner and its first successor read the owner object.
+            if not self.owns and not is_first(self._fleet.member, self._list_present()):
                 continue
             try:
-                await self._go_round()
+                await self._check_owner()
             except AnvilshiftError as error:
                 logging.warning("orders failed code=%d", error.code.number)
 
     async def release(self) -> None:
-        """Give the orders up, so that the next owner need not find this one lost."""
+        """Release the ownership, so that the next owner needn't wait for a lost one."""
         if self.owns:
             stored, ownership = await self._read()
             await self._write(stored, ownership.release(self._incarnation))
@@ -86,16 +86,17 @@
     def _incarnation(self) -> str:
         return self._fleet.member.incarnation
 
-    async def _go_round(self) -> None:
+    async def _check_owner(self) -> None:
         read_at = self._clock.now()
         stored, self.ownership = await self._read()
         if not self.owns:
-            await self._consider(stored)
+            await self._take_over_if_due(stored)
             return
-        # Past this instant another may have taken over and waited this router
-        # out; an order that waits longer in a paused process is not given.
+        # After this instant another router may have taken over and waited until this
+        # one's orders have ended.  An order that a pause of this process delays for
+        # longer is not sent.
         until = read_at + self._fleet.roster.lease
-        await asyncio.gather(*(self._attend(a, until) for a in self._assignments))
+        await asyncio.gather(*(self._reconcile(a, until) for a in self._assignments))
 
     async def _read(self) -> tuple[Stored | None, Ownership]:
         stored = await self._store.get(OWNER_KIND, OWNER_NAME)
@@ -107,32 +108,33 @@
         await self._store.put(OWNER_KIND, OWNER_NAME, body, version)
         self.ownership = ownership
 
-    async def _consider(self, stored: Stored | None) -> None:
-        former = self.ownership
-        if not former.is_due(self._fleet.member, self._present()):
+    async def _take_over_if_due(self, stored: Stored | None) -> None:
+        previous = self.ownership
+        if not previous.is_due(self._fleet.member, self._list_present()):
             return
         try:
-            await self._write(stored, former.take(self._incarnation))
+            await self._write(stored, previous.take(self._incarnation))
         except ConflictError:
             return
-        # One that gave up had ended its orders; only a lost one is waited out.
-        wait = compute_wait(self._fleet.roster.lease) if former.owner else 0.0
-        self._wait_until = self._clock.now() + wait
+        # An owner that released had finished its orders; the orders of a lost owner
+        # may still be in flight, so its successor waits.
+        wait = compute_wait(self._fleet.roster.lease) if previous.owner else 0.0
+        self._takeover_ends = self._clock.now() + wait
         logging.info("orders taken over fencing=%d", self.ownership.fencing)
 
-    def _present(self) -> list[Member]:
+    def _list_present(self) -> list[Member]:
         present = self._fleet.roster.present(self._clock.now())
         return [sighting.member for sighting in present]
 
-    async def _attend(self, assignment: Assignment, until: Millis) -> None:
-        """Read one engine's state back and repeat the order where it differs."""
+    async def _reconcile(self, assignment: Assignment, until: Millis) -> None:
+        """Read an engine's state and send an order if it isn't the desired one."""
         name = assignment.engine.name
-        engine = self._find(name)
-        waiting = self._clock.now() < self._wait_until
+        engine = self._find_engine(name)
+        waiting = self._clock.now() < self._takeover_ends
         if engine is None or (waiting and not assignment.engine.checks_fencing):
             return
         try:
-            async with self._at_once:
+            async with self._concurrency:
                 if assignment.is_met(await engine.state()):
                     return
                 if self._clock.now() > until:
--- a/anvilshift/router/outcomes.py
+++ b/anvilshift/router/outcomes.py
@@ -1,4 +1,4 @@
-"""What becomes of bills that answers wait for."""
+"""The outcomes of the bills that answers wait for."""
 
 import asyncio
 from collections.abc import Mapping
@@ -8,35 +8,36 @@
 
 
 class BillOutcomes:
-    """The bills that answers wait for, until a commit tells what became of them.
+    """Futures for bills that answers wait for; commits resolve them.
 
     Examples
     --------
     >>> async def wait() -> BillState:
     ...     outcomes = BillOutcomes()
-    ...     done = outcomes.expect("shop", "request-1")
+    ...     outcome = outcomes.expect("shop", "request-1")
     ...     outcomes.resolve({("shop", "request-1"): BillState.RECORDED})
-    ...     return await done
+    ...     return await outcome
     >>> asyncio.run(wait()).name
     'RECORDED'
     """
 
     def __init__(self) -> None:
-        self._expected: dict[BillKey, asyncio.Future[BillState]] = {}
+        self._futures: dict[BillKey, asyncio.Future[BillState]] = {}
 
     def expect(self, account: str, key: str) -> "asyncio.Future[BillState]":
-        """Return what will hold a bill's outcome.
+        """Return a future for a bill's outcome.
 
-        Shared, for the same request may be settled twice at a time.
+        All calls for one bill get the same future, since the same request may be
+        settled twice at the same time.
         """
-        if (account, key) not in self._expected:
+        if (account, key) not in self._futures:
             loop = asyncio.get_running_loop()
-            self._expected[account, key] = loop.create_future()
-        return self._expected[account, key]
+            self._futures[account, key] = loop.create_future()
+        return self._futures[account, key]
 
     def resolve(self, states: Mapping[BillKey, BillState]) -> None:
-        """Tell those who wait what became of their bills."""
+        """Set the outcomes of bills for all who wait for them."""
         for key, state in states.items():
-            done = self._expected.pop(key, None)
-            if done is not None and not done.done():
-                done.set_result(state)
+            future = self._futures.pop(key, None)
+            if future is not None and not future.done():
+                future.set_result(state)
--- a/anvilshift/router/permits.py
+++ b/anvilshift/router/permits.py
@@ -1,7 +1,7 @@
-"""Ask other routers for permits to send to limited targets, and issue them.
+"""Request permits to send to rate-limited targets, and issue them to other routers.
 
-What waits for a permit is known by the dispatcher; this asks for one permit a target
-at a time, of the router that issues them for all.
+The dispatcher knows which work waits for a permit.  For each target, this module
+requests one permit at a time from the router that issues the target's permits.
 """
 
 import asyncio
@@ -30,29 +30,31 @@
 from anvilshift.router.dispatching import DispatchLoop
 from anvilshift.router.telemetry import Telemetry
 
-_HEARD_BEATS = 3
-"""Heartbeats within which a router that is in touch is heard."""
-_LONG_POLL: Millis = 400.0
-"""How long an issuer keeps a question; less than a call between routers may take."""
-_STEP: Millis = 20.0
-"""Longest pause between two looks whether a permit is free."""
-_SILENCE: Millis = 2 * SECOND
-_PAUSE: Millis = 100.0
-"""Pause after a question that brought no permit."""
-_STALE: Millis = 1.5 * SECOND
-"""A permit that came later was for a time in which this process stood still."""
+_CONNECTED_HEARTBEATS = 3
+"""A router counts as connected if it was heard from within this many heartbeats."""
+_LONG_POLL_TIMEOUT: Millis = 400.0
+"""How long an issuer holds a request open; less than the timeout of a peer call."""
+_CHECK_INTERVAL: Millis = 20.0
+"""Longest pause between two checks whether a permit is available."""
+_BID_EXPIRY: Millis = 2 * SECOND
+"""A bid that wasn't renewed for this long is dropped from the queue."""
+_RETRY_DELAY: Millis = 100.0
+"""Pause after a request that got no permit."""
+_MAX_REPLY_AGE: Millis = 1.5 * SECOND
+"""A permit that arrives later than this isn't used: this process was paused, and the
+time that the permit was issued for is over."""
 
 
 @dataclass(frozen=True)
 class PermitSources:
-    """What the permits of one router need of its other parts.
+    """The components of a router that its permits use.
 
     Parameters
     ----------
     read_roster
-        Returns the others as this router sees them now.
+        Returns the other routers as this router currently sees them.
     heartbeat
-        Time between two heartbeats.
+        Interval between two heartbeats.
     """
 
     own: Member
@@ -65,36 +67,36 @@
 
 
 class Permits:
-    """One router's part in keeping to limits."""
+    """Request permits for a router's own work, and issue those of some targets."""
 
     def __init__(self, sources: PermitSources) -> None:
         self._sources = sources
         self._clock = sources.clock
-        self._own = sources.own.name
+        self._own_name = sources.own.name
         self._dispatcher = sources.dispatch.dispatcher
         self._attendance = Attendance()
-        self._attendance.note({self._own}, (), self._clock.now())
+        self._attendance.note({self._own_name}, (), self._clock.now())
         self._desks: dict[str, PermitDesk] = {}
-        self._seeking: dict[str, asyncio.Task[None]] = {}
-        self._numbers = itertools.count()
+        self._request_tasks: dict[str, asyncio.Task[None]] = {}
+        self._request_numbers = itertools.count()
         sources.dispatch.at_change = self.seek
 
-    # Who issues
+    # Assignment of issuers
 
     def note_routers(self) -> None:
-        """Take in which routers are in touch now."""
+        """Update which routers are connected; drop the desks whose issuer changed."""
         now = self._clock.now()
         sightings = self._sources.read_roster().sightings.values()
         heard = {
             s.member.name
             for s in sightings
             if s.heard is not None
-            and now - s.heard <= _HEARD_BEATS * self._sources.heartbeat
+            and now - s.heard <= _CONNECTED_HEARTBEATS * self._sources.heartbeat
         }
         leaving = {s.member.name for s in sightings if s.member.leaving}
         before = self._attendance.list_issuers()
         recorded = {s.member.name for s in sightings}
-        present = (heard - leaving) | {self._own}
+        present = (heard - leaving) | {self._own_name}
         if not self._attendance.note(present, leaving, now, recorded):
             return
         for name in list(self._desks):
@@ -102,14 +104,14 @@
                 del self._desks[name]
 
     def has_lost_routers(self) -> bool:
-        """Tell whether a router that fell silent may go on behind a cut."""
+        """Tell whether a router that fell silent may still run behind a partition."""
         return self._attendance.count_lost(self._clock.now()) > 0
 
     def _find_issuer(self, target: str) -> str:
         return self._attendance.find_issuer(target)
 
     def note_report(self, report: LoadReport) -> None:
-        """Log a limit that is new, has changed or has ended, before it counts."""
+        """Log a new, changed or ended limit before the dispatcher applies it."""
         view = self._find_view(report.target)
         if view is None:
             return
@@ -127,39 +129,43 @@
             view.meter.count(now),
         )
 
-    # Permits for this router's work
+    # Permits for this router's own work
 
     def seek(self) -> None:
-        """Ask for the permits that waiting work wants."""
+        """Request the permits that waiting work needs."""
         for want in self._dispatcher.list_wants():
-            if want.target not in self._seeking:
-                task = asyncio.get_running_loop().create_task(self._seek(want))
-                self._seeking[want.target] = task
-                task.add_done_callback(partial(self._note_end, want))
+            if want.target not in self._request_tasks:
+                task = asyncio.get_running_loop().create_task(self._obtain(want))
+                self._request_tasks[want.target] = task
+                task.add_done_callback(partial(self._finish_request, want))
 
-    def _note_end(self, want: Want, task: asyncio.Task[None]) -> None:
-        self._seeking.pop(want.target, None)
+    def _finish_request(self, want: Want, task: asyncio.Task[None]) -> None:
+        self._request_tasks.pop(want.target, None)
         if task.cancelled():
             return
         if task.exception() is not None:
-            logging.error("permit search broke", exc_info=task.exception())
+            logging.error("permit request failed", exc_info=task.exception())
             return
         self.seek()
 
-    async def _seek(self, want: Want) -> None:
-        """Ask until there is a permit or nothing that wants one."""
-        run = f"{self._sources.own.incarnation}/{next(self._numbers)}"
+    async def _obtain(self, want: Want) -> None:
+        """Repeat the request until a permit is granted or refused, or isn't needed."""
+        run = f"{self._sources.own.incarnation}/{next(self._request_numbers)}"
         began = self._clock.now()
-        while any(one.target == want.target for one in self._dispatcher.list_wants()):
-            asked = self._clock.now()
-            reply = await self._ask(want, run, began)
+        while any(w.target == want.target for w in self._dispatcher.list_wants()):
+            requested_at = self._clock.now()
+            reply = await self._request_permit(want, run, began)
             now = self._clock.now()
-            if reply.state == State.GRANTED.value and now - asked <= _STALE:
+            if (
+                reply.state == State.GRANTED.value
+                and now - requested_at <= _MAX_REPLY_AGE
+            ):
                 actions = self._dispatcher.permit(want.target, run, now)
                 self._sources.dispatch.act(actions)
                 if not any(isinstance(action, Send) for action in actions):
-                    # What waits doesn't suit the target: the next one wouldn't either.
-                    await asyncio.sleep(_PAUSE / SECOND)
+                    # No waiting work can be sent to the target, so the next permit
+                    # would be unused as well.
+                    await asyncio.sleep(_RETRY_DELAY / SECOND)
                 return
             if reply.state != State.QUEUED.value:
                 self._sources.telemetry.count_permit(want.target, "held back")
@@ -169,15 +175,15 @@
                     want.organisation,
                     reply.wait_ms,
                 )
-                await asyncio.sleep(_PAUSE / SECOND)
+                await asyncio.sleep(_RETRY_DELAY / SECOND)
                 return
-            if now - asked < _STEP:
-                await asyncio.sleep(_STEP / SECOND)
+            if now - requested_at < _CHECK_INTERVAL:
+                await asyncio.sleep(_CHECK_INTERVAL / SECOND)
 
-    async def _ask(self, want: Want, run: str, began: Millis) -> PermitReply:
+    async def _request_permit(self, want: Want, run: str, began: Millis) -> PermitReply:
         issuer = self._find_issuer(want.target)
         request = self._make_request(want, run, began)
-        if issuer == self._own:
+        if issuer == self._own_name:
             return await self.take_permit(request)
         sighting = self._sources.read_roster().sightings.get(issuer)
         if sighting is None:
@@ -187,7 +193,7 @@
             return await self._sources.link.permit(address, request)
         except PeerError as error:
             logging.info("no permit from issuer=%s %s", issuer, error)
-            await asyncio.sleep(_PAUSE / SECOND)
+            await asyncio.sleep(_RETRY_DELAY / SECOND)
             return PermitReply(state=State.QUEUED.value)
 
     def _make_request(self, want: Want, run: str, began: Millis) -> PermitRequest:
@@ -210,15 +216,15 @@
     # Permits that this router issues
 
     async def take_permit(self, request: PermitRequest) -> PermitReply:
-        """Answer a question, when there is a permit or after a while."""
+        """Answer a request when a permit is available, or when the long poll ends."""
         view = self._find_view(request.target)
-        if view is None or self._find_issuer(request.target) != self._own:
-            return PermitReply(state=State.QUEUED.value, wait_ms=_PAUSE)
+        if view is None or self._find_issuer(request.target) != self._own_name:
+            return PermitReply(state=State.QUEUED.value, wait_ms=_RETRY_DELAY)
         now = self._clock.now()
         for sent in request.sent:
             view.meter.add(sent.run, now - sent.age_ms)
         desk = self._find_desk(view)
-        until = now + _LONG_POLL
+        until = now + _LONG_POLL_TIMEOUT
         latest = now + request.patience_ms
         try:
             while True:
@@ -231,11 +237,11 @@
                     latest,
                     now,
                 )
-                desk.expire(now, _SILENCE)
+                desk.expire(now, _BID_EXPIRY)
                 verdict = desk.ask(bid, self._find_rate(view, request), now)
                 if verdict.state is not State.QUEUED or now >= until:
                     return self._reply(request.target, verdict.state, verdict.wait)
-                step = max(1.0, min(verdict.wait, _STEP))
+                step = max(1.0, min(verdict.wait, _CHECK_INTERVAL))
                 await asyncio.sleep(step / SECOND)
         finally:
             desk.withdraw(request.run)
@@ -246,12 +252,16 @@
         return PermitReply(state=state.value, wait_ms=wait)
 
     def _find_rate(self, view: TargetView, request: PermitRequest) -> float | None:
-        """Return the rate for the routers in touch, as either side knows it."""
+        """Return the rate that the connected routers share, or None without a limit.
+
+        The limit is the lower of the two that this router and the requesting one
+        know.
+        """
         now = self._clock.now()
         own = view.named.find_rate(now) if view.named else None
         rates = [rate for rate in (own, request.rate) if rate]
-        part = self._attendance.find_part(now)
-        return min(rates) * part if rates else None
+        share = self._attendance.find_part(now)
+        return min(rates) * share if rates else None
 
     def _find_desk(self, view: TargetView) -> PermitDesk:
         name = view.target.name
@@ -262,6 +272,6 @@
         return desk
 
     def close(self) -> None:
-        """Stop asking."""
-        for task in self._seeking.values():
+        """Cancel the requests for permits."""
+        for task in self._request_tasks.values():
             task.cancel()
