--- a/anvilshift/router/branch.py
+++ b/anvilshift/router/branch.py
@@ -168,7 +168,7 @@
     def _refuse(self, account: str, key: str, tokens: int) -> None:
         purse = self.escrow.purses[account]
         if self.platform_out or self._failing_since is not None:
-            detail = "the platform is unavailable and this router's grant is used up"
+            detail = "the platform is unavailable and this router's grant is spent"
             raise AnvilshiftError(BUDGET_UNREACHABLE, detail, 2 * SECOND)
         raise make_refusal(purse.refuse(key, tokens, self._clock.now()))
 
@@ -229,15 +229,15 @@
         # Only the witness's copies are counted when the amount in doubt is
         # resolved.  Copies at other routers serve to record the bill if holder and
         # witness are lost together.
-        spare = self._hooks.keep_copies(escrow.holder, copies, witness)
+        peer_copies = self._hooks.keep_copies(escrow.holder, copies, witness)
         if not witness:
-            await spare
+            await peer_copies
             return True
         # The witness must have its copy before the answer ends: otherwise, closing
         # this holder from the witness's copies would return tokens to the budget
         # that this answer has spent.
-        asked = self._hooks.keep_witnessed(witness, escrow.holder, copies)
-        kept, _ = await asyncio.gather(asked, spare)
+        witness_copy = self._hooks.keep_witnessed(witness, escrow.holder, copies)
+        kept, _ = await asyncio.gather(witness_copy, peer_copies)
         return kept
 
     async def _wait_next_commit(self) -> None:
--- a/anvilshift/router/dispatching.py
+++ b/anvilshift/router/dispatching.py
@@ -38,14 +38,14 @@
     relocate
         Asks the other routers whether a content may be sent to a target; the result
         takes effect at once.
-    at_change
+    on_change
         Called whenever the waiting or running work may have changed.
     """
 
     def __init__(self, dispatcher: Dispatcher, clock: Clock) -> None:
         self.dispatcher = dispatcher
         self.announce: Callable[[Announce], None] = lambda announcement: None
-        self.at_change: Callable[[], None] = lambda: None
+        self.on_change: Callable[[], None] = lambda: None
         self.relocate: Callable[[Ask], Awaitable[bool]] = _refuse_relocation
         self._ask_tasks: set[asyncio.Task[None]] = set()
         self._clock = clock
@@ -160,7 +160,7 @@
                 waiter.set_exception(error)
             else:
                 waiter.set_result(action)
-        self.at_change()
+        self.on_change()
         self._set_timer()
 
     async def _ask(self, ask: Ask) -> None:
--- a/anvilshift/router/gate.py
+++ b/anvilshift/router/gate.py
@@ -12,7 +12,7 @@
 from anvilshift.wire.messages import HttpRequest
 
 _AUTH_SCHEME = "bearer "
-BILL_TIME: Millis = 120.0
+BILLING_MARGIN: Millis = 120.0
 """Time before the deadline by which a target must have answered.  The end of the
 answer then waits until its bill is recorded or, for an early release, until the
 witness has a copy."""
@@ -93,7 +93,7 @@
             candidates=self._list_candidates(job.organisation, job.route),
             prompt_tokens=job.prompt_bound,
             answer_tokens=job.answer_bound,
-            deadline=job.deadline - BILL_TIME,
+            deadline=job.deadline - BILLING_MARGIN,
             weight=job.organisation.weight,
             prefixes=job.prefixes,
             content=job.content,
--- a/anvilshift/router/permits.py
+++ b/anvilshift/router/permits.py
@@ -79,7 +79,7 @@
         self._desks: dict[str, PermitDesk] = {}
         self._request_tasks: dict[str, asyncio.Task[None]] = {}
         self._request_numbers = itertools.count()
-        sources.dispatch.at_change = self.seek
+        sources.dispatch.on_change = self.request_permits
 
     # Assignment of issuers
 
@@ -131,7 +131,7 @@
 
     # Permits for this router's own work
 
-    def seek(self) -> None:
+    def request_permits(self) -> None:
         """Request the permits that waiting work needs."""
         for want in self._dispatcher.list_wants():
             if want.target not in self._request_tasks:
@@ -146,7 +146,7 @@
         if task.exception() is not None:
             logging.error("permit request failed", exc_info=task.exception())
             return
-        self.seek()
+        self.request_permits()
 
     async def _obtain(self, want: Want) -> None:
         """Repeat the request until a permit is granted or refused, or isn't needed."""
--- a/anvilshift/router/runs.py
+++ b/anvilshift/router/runs.py
@@ -51,7 +51,7 @@
 
 
 class Run:
-    """One request on its way from the reservation of tokens to the recorded bill.
+    """The execution of one request: reserve tokens, generate the answer, bill it.
 
     Parameters
     ----------
@@ -275,7 +275,7 @@
         self._has_first_token = False
         engine = self._shared.targets.engine(send.target)
         if engine is None:
-            raise TargetError(Failure.NOT_SENT, "the target is no longer declared")
+            raise TargetError(Failure.NOT_SENT, "the target is gone")
         call = ModelCall(attempt, job.body or {}, send.priority, self.text.whole())
         timeout = job.deadline - self._shared.clock.now()
         # Set before the first byte can be sent: if the deadline passes while the
--- a/tests/router/test_dispatching.py
+++ b/tests/router/test_dispatching.py
@@ -1,4 +1,4 @@
-"""The dispatcher's timers on a loop that may stand still."""
+"""Tests of the dispatcher's timers when the event loop is blocked or late."""
 
 import asyncio
 import time
@@ -9,7 +9,7 @@
 
 
 class StubDispatcher:
-    """Is due every 10 ms, and remembers when it was asked."""
+    """A dispatcher with a tick due every 10 ms that records when it is ticked."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -24,7 +24,7 @@
         return []
 
 
-class HeldUpTest(unittest.IsolatedAsyncioTestCase):
+class BlockedLoopTest(unittest.IsolatedAsyncioTestCase):
     def start(self):
         self.clock = MonotonicClock()
         self.stub = StubDispatcher(self.clock)
@@ -36,16 +36,19 @@
             while len(self.stub.ticks) < count:
                 await asyncio.sleep(0.001)
 
-    async def test_nothing_is_judged_before_what_arrived_meanwhile_is_read(self):
-        """Guards against healthy targets left for a pause of the router itself."""
+    async def test_first_tick_after_a_pause_is_delayed(self):
+        """A pause of the router itself must not make it abandon healthy targets.
+
+        Answers that arrived during the pause must be read before the next tick.
+        """
         self.start()
         time.sleep(0.3)  # noqa: ASYNC251
-        woken = self.clock.now()
+        resumed = self.clock.now()
         await self.wait_ticks(1)
-        self.assertGreaterEqual(self.stub.ticks[0], woken + 50.0)
+        self.assertGreaterEqual(self.stub.ticks[0], resumed + 50.0)
 
-    async def test_loop_that_is_always_late_judges_all_the_same(self):
-        """Guards against a busy router that never acts on what is due."""
+    async def test_loop_that_is_always_late_still_ticks(self):
+        """A busy router whose timers are always late must still run its ticks."""
         self.start()
         until = self.clock.now() + 2 * SECOND
         while self.clock.now() < until:
--- a/tests/router/test_orders.py
+++ b/tests/router/test_orders.py
@@ -1,4 +1,4 @@
-"""One owner of orders at a time, for engines that check numbers and others."""
+"""Tests of the ownership of orders, with and without checks of fencing numbers."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 class Engine:
-    """An engine that every router reaches, with a gate for one router's orders."""
+    """An engine shared by all routers, which can delay the orders of some of them."""
 
     def __init__(self, clock, checks_fencing):
         self.clock = clock
@@ -82,8 +82,8 @@
         self.fleet.cut_from_platform(*names)
         self.fleet.cut_peers(*names)
 
-    async def pause_owner_in_the_act(self):
-        """Stop r1, the owner, between its last check and its order's arrival."""
+    async def pause_owner_during_order(self):
+        """Delay an order of r1, the owner, between its last check and its arrival."""
         self.engine.paused = {"r1"}
         await wait_until(lambda: self.fleet.nodes["r1"].orders.owns)
         await asyncio.sleep(2)
@@ -93,7 +93,7 @@
     async def wait_loaded(self, model):
         await wait_until(lambda: self.engine.loaded.get("model") == model)
 
-    async def test_one_router_brings_the_engine_to_the_desired_state(self):
+    async def test_one_router_orders_the_desired_state(self):
         await self.begin(checks_fencing=False)
         await self.wait_loaded("old")
         await self.declare("new")
@@ -101,23 +101,23 @@
         self.assertEqual(self.engine.taken, [("r1", "old"), ("r1", "new")])
 
     async def test_checking_engine_refuses_the_paused_owner(self):
-        """The owner is paused with an order on its way; another takes over and
-        loads a newer model.  The old order then arrives.
+        """The owner is paused while its order is in flight; another router takes
+        over and orders a newer model.  The old order that then arrives is refused.
         """
         await self.begin(checks_fencing=True)
-        await self.pause_owner_in_the_act()
+        await self.pause_owner_during_order()
         await self.wait_loaded("new")
         self.engine.resume.set()
         await wait_until(lambda: ("r1", "refused") in self.engine.taken)
         self.assertEqual(self.engine.loaded, {"model": "new"})
         self.assertEqual(self.engine.fencing, 2)
 
-    async def test_ignoring_engine_is_read_back_and_corrected(self):
-        """As above, but the engine takes any order: it loads the old model when
-        the paused owner wakes.  The new owner sees it and orders again.
+    async def test_engine_that_ignores_fencing_is_read_back_and_corrected(self):
+        """As above, but the engine accepts any order: it loads the old model when
+        the paused owner resumes.  The new owner must detect it and repeat its order.
         """
         await self.begin(checks_fencing=False)
-        await self.pause_owner_in_the_act()
+        await self.pause_owner_during_order()
         await wait_until(lambda: self.fleet.nodes["r2"].orders.owns)
         taken_over = self.fleet.clock.now()
         await self.wait_loaded("new")
@@ -126,13 +126,13 @@
         await asyncio.sleep(5)
         self.engine.resume.set()
         await self.wait_loaded("old")
-        woke = self.fleet.clock.now()
+        resumed = self.fleet.clock.now()
         await self.wait_loaded("new")
-        self.assertLessEqual(self.fleet.clock.now() - woke, 2 * SECOND)
+        self.assertLessEqual(self.fleet.clock.now() - resumed, 2 * SECOND)
         self.assertEqual(self.engine.taken[-1], ("r2", "new"))
 
-    async def test_owner_that_was_replaced_stays_silent(self):
-        """A cut-off owner comes back when another has the orders."""
+    async def test_replaced_owner_sends_no_orders(self):
+        """An owner that was cut off reconnects after another router took over."""
         await self.begin(checks_fencing=False)
         await self.wait_loaded("old")
         self.isolate("r1")
--- a/tests/router/test_outcomes.py
+++ b/tests/router/test_outcomes.py
@@ -6,8 +6,8 @@
 
 
 class BillOutcomesTest(unittest.IsolatedAsyncioTestCase):
-    async def test_all_who_wait_for_a_bill_hear_its_outcome(self):
-        """The same request is settled twice at a time; both answers wait."""
+    async def test_all_waiting_answers_get_the_outcome_of_a_bill(self):
+        """One request is settled twice at the same time, and both answers wait."""
         outcomes = BillOutcomes()
         first = outcomes.expect("shop", "a")
         second = outcomes.expect("shop", "a")
@@ -15,12 +15,12 @@
         states = await asyncio.gather(first, second)
         self.assertEqual(states, [BillState.DUPLICATE] * 2)
 
-    async def test_an_outcome_that_nobody_waits_for_is_passed_over(self):
+    async def test_outcome_of_a_bill_without_waiting_answers_is_ignored(self):
         outcomes = BillOutcomes()
         outcomes.resolve({("shop", "a"): BillState.RECORDED})
         self.assertFalse(outcomes.expect("shop", "a").done())
 
-    async def test_one_that_gave_up_is_passed_over(self):
+    async def test_cancelled_future_is_ignored(self):
         outcomes = BillOutcomes()
         outcomes.expect("shop", "a").cancel()
         outcomes.resolve({("shop", "a"): BillState.RECORDED})
--- a/tests/router/test_permits.py
+++ b/tests/router/test_permits.py
@@ -1,4 +1,4 @@
-"""Limits that engines name, at the routers of the chat interface."""
+"""Tests that routers together keep to the rate limits that engines report."""
 
 import asyncio
 import random
@@ -45,7 +45,7 @@
         self.dispatcher.configure(targets, fleet.clock.now())
 
     async def permit(self, address, request):
-        """Carry a question to another router."""
+        """Send a permit request to another router."""
         await asyncio.sleep(0.001)
         if {self.name, address} & self.fleet.cut:
             await asyncio.sleep(1.0)
@@ -60,7 +60,7 @@
         self.permits.note_routers()
 
     async def ask(self, candidates, deadline: float) -> bool:
-        """Serve one caller; tell whether it was sent anywhere."""
+        """Submit work of one caller; tell whether it was sent to a target."""
         identity = f"{self.name}/{self.fleet.count}"
         self.fleet.count += 1
         end = self.fleet.clock.now() + deadline
@@ -82,9 +82,9 @@
     Attributes
     ----------
     rates
-        Requests a second that each engine names; None for any number.
+        Limit that each engine reports, in requests per second; None for no limit.
     cut
-        Routers that no other one reaches.
+        Names of the routers that are cut off from the others.
     """
 
     def __init__(self, size: int, rates: dict[str, float | None]) -> None:
@@ -134,7 +134,7 @@
             self.spawn(self.keep_asking(router, rate / len(self.routers), deadline))
 
     def count_most(self, name: str, since: float) -> int:
-        """Return the most requests of a span that ends after an instant."""
+        """Return the most requests in any limit span that ends after an instant."""
         arrivals = self.arrivals[name]
         ends = [end for end in arrivals if end >= since]
         return max(
@@ -142,11 +142,11 @@
         )
 
 
-def play(course, size: int, rates: dict[str, float | None]):
+def run_scenario(scenario, size: int, rates: dict[str, float | None]):
     async def run():
         fleet = Routers(size, rates)
         try:
-            return await course(fleet)
+            return await scenario(fleet)
         finally:
             for task in fleet.tasks:
                 task.cancel()
@@ -155,10 +155,10 @@
 
 
 class PermitsTest(unittest.TestCase):
-    def test_routers_that_share_an_engine_keep_to_its_limit_and_use_it(self):
-        """Guards against each router taking an engine's limit for its own."""
+    def test_routers_that_share_an_engine_use_but_keep_to_its_limit(self):
+        """Guards against each router using the whole limit of an engine by itself."""
 
-        async def course(fleet):
+        async def scenario(fleet):
             fleet.start(40.0)
             await asyncio.sleep(4.0)
             fleet.rates["e1"] = 2.0
@@ -167,22 +167,22 @@
             used = sum(a > named + 7.0 for a in fleet.arrivals["e1"])
             return fleet.count_most("e1", named + STABLE_S), used
 
-        most, used = play(course, 4, {"e1": None})
+        most, used = run_scenario(scenario, 4, {"e1": None})
         self.assertLessEqual(most, 1.5 * 2.0 * SPAN_S + 5)
         self.assertGreater(used, 0.7 * 2.0 * 13)
 
-    def test_work_goes_elsewhere_while_another_engine_has_room(self):
-        async def course(fleet):
+    def test_work_is_sent_to_another_engine_with_free_capacity(self):
+        async def scenario(fleet):
             fleet.start(20.0)
             await asyncio.sleep(10.0)
             return fleet.answers, fleet.count_most("e1", 0.0)
 
-        answers, most = play(course, 3, {"e1": 1.0, "e2": None})
+        answers, most = run_scenario(scenario, 3, {"e1": 1.0, "e2": None})
         self.assertGreater(sum(answers) / len(answers), 0.99)
         self.assertLessEqual(most, 1.5 * 1.0 * SPAN_S + 5)
 
-    def test_a_cut_router_and_the_others_together_keep_to_the_limit(self):
-        async def course(fleet):
+    def test_routers_keep_to_the_limit_during_a_partition(self):
+        async def scenario(fleet):
             fleet.start(40.0)
             await asyncio.sleep(5.0)
             fleet.cut = {"r0"}
@@ -193,11 +193,11 @@
 
         for rate in (1.0, 8.0):
             with self.subTest(rate=rate):
-                most = play(course, 4, {"e1": rate})
+                most = run_scenario(scenario, 4, {"e1": rate})
                 self.assertLessEqual(most, 1.5 * rate * SPAN_S + 5)
 
-    def test_an_ended_limit_lets_all_work_back(self):
-        async def course(fleet):
+    def test_all_work_is_sent_after_a_limit_has_ended(self):
+        async def scenario(fleet):
             fleet.start(20.0)
             await asyncio.sleep(6.0)
             fleet.rates["e1"] = None
@@ -205,4 +205,4 @@
             now = fleet.clock.now() / 1_000.0
             return sum(a > now - 2.0 for a in fleet.arrivals["e1"])
 
-        self.assertGreater(play(course, 3, {"e1": 1.0}), 30)
+        self.assertGreater(run_scenario(scenario, 3, {"e1": 1.0}), 30)
--- a/tests/router/test_returning.py
+++ b/tests/router/test_returning.py
@@ -1,4 +1,4 @@
-"""An engine that comes back and names its need in the same report."""
+"""Tests of an engine that returns and reports a limit in the same load report."""
 
 import asyncio
 import unittest
@@ -21,8 +21,8 @@
 }
 
 
-class Polled:
-    """An engine that answers its polls, and refuses them while it is down."""
+class StubEngine:
+    """An engine that answers polls, and refuses connections while it is down."""
 
     def __init__(self, name, down):
         self.name, self._down = name, down
@@ -38,13 +38,13 @@
 
 
 class ReturningTest(unittest.TestCase):
-    def test_waiting_work_keeps_to_a_limit_that_an_engine_names_as_it_returns(self):
-        """Guards against a queue sent at once to an engine that returns in need."""
+    def test_waiting_work_keeps_to_the_limit_of_a_returning_engine(self):
+        """Guards against sending the whole queue at once to a limited engine."""
         run_virtual(self.return_with_a_limit())
 
     async def return_with_a_limit(self):
         down = {"e1"}
-        nodes = Nodes(engine=lambda engine, router: Polled(engine.name, down))
+        nodes = Nodes(engine=lambda engine, router: StubEngine(engine.name, down))
         await nodes.platform.put("EngineGroup", "models", GROUP, 0)
         await nodes.start("r1")
         node = nodes.nodes["r1"]
@@ -52,16 +52,16 @@
         sent = []
         act = node.dispatch.act
 
-        def watch(actions):
+        def record_and_act(actions):
             sent.extend(a.target for a in actions if isinstance(a, Send))
             act(actions)
 
-        node.dispatch.act = watch
+        node.dispatch.act = record_and_act
         now = nodes.clock.now()
         candidates = {"e1": 0, "e2": 0}
         for n in range(7):
             work = Work(f"w{n}", "org", "x", candidates, 10, 10, now + 60_000.0)
-            watch(node.dispatcher.arrive(work, now))
+            record_and_act(node.dispatcher.arrive(work, now))
         self.assertEqual(sent, ["e2"])
         down.clear()
         await asyncio.sleep(1)
--- a/tests/router/test_runs.py
+++ b/tests/router/test_runs.py
@@ -1,4 +1,4 @@
-"""Whole answers: each character once, in order, and only to who asked."""
+"""Tests that an answer reaches its caller only, complete and without repetition."""
 
 import asyncio
 import contextlib
@@ -40,8 +40,8 @@
             for name, value in faults.items():
                 setattr(engine.faults, name, value)
 
-    def speak(self, *batches):
-        """Let every engine answer with given pieces in place of the stand-in's."""
+    def replace_pieces(self, *batches):
+        """Let every engine answer with the given pieces instead of its own."""
 
         async def read(response):
             for batch in batches:
@@ -54,18 +54,18 @@
         extra = {"stream": True, **rest.pop("extra", {})}
         return await self.fleet.chat("tank", *headers, extra=extra, **rest)
 
-    async def test_stream_goes_on_at_another_engine(self):
+    async def test_stream_continues_at_another_engine(self):
         self.fleet.engines[0].faults.break_after = 5
         self.fleet.engines[1].faults.break_after = 5
         text, _, ended = read_events(await self.stream(tokens=12))
         self.assertEqual(text, make_answer("tank", 12))
         self.assertTrue(ended)
 
-    async def test_request_leaves_an_engine_that_fell_silent(self):
-        """An engine is paused in the midst of an answer; its connection stays.
+    async def test_request_moves_from_a_silent_engine_to_another(self):
+        """An engine is paused during an answer, and its connection stays open.
 
-        The request waited there until its deadline.  It goes on elsewhere as
-        soon as the engine's polls go unanswered too.
+        Guards against a request that waits there until its deadline: it must
+        continue at another engine once the paused one's polls go unanswered too.
         """
         self.set_faults(slow=10.0)
         asking = asyncio.create_task(self.stream(tokens=20))
@@ -82,20 +82,20 @@
         self.assertEqual(text, make_answer("tank", 20))
         self.assertTrue(ended)
 
-    async def test_stream_that_breaks_has_no_end_mark(self):
+    async def test_broken_stream_has_no_end_marker(self):
         self.set_faults(break_after=1)
         answer = await self.stream(tokens=20)
         text, _, ended = read_events(answer)
         self.assertTrue(make_answer("tank", 20).startswith(text))
         self.assertFalse(ended)
 
-    async def test_resume_by_event_id_gives_the_rest_to_the_character(self):
-        """A manager's connection breaks after "tank 3: é" and resumes by id.
+    async def test_resume_by_event_id_counts_characters(self):
+        """A caller resumes by event id after text that isn't ASCII.
 
-        Offsets count characters; in bytes the answer would be cut one off.
+        Guards against offsets in bytes, which would resume at a wrong character.
         """
         pieces = [Piece("ták é🦞 "), Piece("dobrý"), Piece("", 0, "stop", Usage(5, 2))]
-        with self.speak(pieces[:1], pieces[1:]):
+        with self.replace_pieces(pieces[:1], pieces[1:]):
             text, ids, _ = read_events(await self.stream(KEY))
         self.assertEqual(text, "ták é🦞 dobrý")
         tag = ids[0].partition("-")[0]
@@ -103,19 +103,19 @@
         self.assertEqual(read_events(again)[0], "🦞 dobrý")
 
     async def test_resume_does_not_mix_two_answers(self):
-        """An engine answers the same question in other words at another router.
+        """Two routers have generated different answers to the same request.
 
-        The caller holds the beginning of the first answer and resumes at a
-        router that made the second.  Served by offset alone it would read a
-        mixture that nobody ever gave.
+        The caller has received the beginning of one and resumes at the router with
+        the other.  Guards against resuming by offset alone, which would join parts
+        of two answers.
         """
-        with self.speak([Piece("all tanks are well")]):
+        with self.replace_pieces([Piece("all tanks are well")]):
             await self.stream(KEY, router=1)
         received = {"anvilshift": {"received": "two tanks"}}
         answer = await self.stream(KEY, extra=received, router=1)
         self.assertEqual(read_events(answer)[0], make_answer("tank", 8)[12:])
 
-    async def test_resume_of_what_is_not_here_is_refused(self):
+    async def test_resume_with_unknown_event_id_is_refused(self):
         await self.stream(KEY)
         for forged in ("4", "00000000-4", "-4", "00000000-999999"):
             answer = await self.stream(KEY, ("last-event-id", forged))
@@ -125,11 +125,11 @@
             self.assertEqual(read_code(await self.stream(KEY, raw))[0], 1009)
 
     async def test_resumes_that_differ_replace_one_another(self):
-        """A caller's client resumes three times at once, from different texts.
+        """A client resumes three times at once, each time with a different text.
 
-        Each run takes the place of the one before and begins only when all
-        before it have ended: what one that ends late gives back would be the
-        reservation and the place in the queue of the last.
+        Each run replaces the one before and begins only when all earlier ones have
+        ended.  Otherwise, an earlier run that ends late would release the
+        reservation and the queue position of the last.
         """
         self.set_faults(slow=10.0)
         runs = self.fleet.nodes[0].callers.runs
@@ -153,28 +153,28 @@
         answer = await self.stream(KEY, ("last-event-id", "7"), extra=extra)
         self.assertEqual(read_code(answer)[0], 1009)
 
-    async def test_organisations_never_meet_under_one_key(self):
-        """A rival sends a pound's key, body and event id.
+    async def test_organisations_with_the_same_key_are_kept_apart(self):
+        """Another organisation sends the same key, body and event id.
 
-        It gets an answer of its own and pays for it; nothing of the pound's
-        run is read, joined or stopped.
+        It must get and pay for an answer of its own, and must not read, join or
+        stop the run of the first organisation.
         """
         self.set_faults(slow=10.0)
-        mine = asyncio.create_task(self.stream(KEY, tokens=30))
+        first = asyncio.create_task(self.stream(KEY, tokens=30))
         await wait_until(lambda: self.fleet.nodes[0].callers.runs.in_flight)
         run = next(iter(self.fleet.nodes[0].callers.runs._runs.values()))
         forged = ("last-event-id", f"{run.tag}-6")
-        stolen = await self.stream(KEY, forged, tokens=30, token="rival")
-        self.assertEqual(read_code(stolen)[0], 1009)
+        refused = await self.stream(KEY, forged, tokens=30, token="rival")
+        self.assertEqual(read_code(refused)[0], 1009)
         rival = asyncio.create_task(self.stream(KEY, tokens=30, token="rival"))
         await wait_until(lambda: self.fleet.nodes[0].callers.runs.in_flight == 2)
         rival.cancel()
         await asyncio.gather(rival, return_exceptions=True)
-        text, _, ended = read_events(await mine)
+        text, _, ended = read_events(await first)
         self.assertEqual(text, make_answer("tank", 30))
         self.assertTrue(ended)
 
-    async def test_caller_who_leaves_without_a_key_stops_its_run(self):
+    async def test_run_without_a_key_stops_when_its_caller_disconnects(self):
         self.set_faults(slow=20.0)
         task = asyncio.create_task(self.stream(tokens=500))
         engines = self.fleet.engines
@@ -185,7 +185,7 @@
         self.assertEqual(self.fleet.nodes[0].callers.in_flight, 0)
         self.assertEqual(self.fleet.spent, 0)
 
-    async def test_caller_with_a_key_is_waited_for_and_no_longer(self):
+    async def test_run_with_a_key_stops_after_the_resume_grace(self):
         self.set_faults(slow=20.0)
         with mock.patch.object(runs, "RESUME_GRACE", 300.0):
             for _ in range(2):
@@ -199,18 +199,18 @@
         self.assertEqual(started, 1)
 
     async def test_router_that_stood_still_goes_on_where_it_was(self):
-        """Guards against a healthy engine left for the router's own pause."""
+        """A pause of the router itself must not make it abandon a healthy engine."""
         for n in range(12):
             await self.fleet.chat(f"teach {n}", tokens=2)
         write = Responder.write
 
-        async def write_and_stand_still(responder, data):
+        async def write_and_block(responder, data):
             patched.stop()
             await write(responder, data)
-            # The first token has left its engine; this router hasn't read it.
+            # The engine has sent the first token; this router hasn't read it yet.
             time.sleep(1.5)  # noqa: ASYNC251
 
-        patched = mock.patch.object(Responder, "write", write_and_stand_still)
+        patched = mock.patch.object(Responder, "write", write_and_block)
         patched.start()
         text, _, ended = read_events(await self.stream(tokens=4))
         self.assertEqual((text, ended), (make_answer("tank", 4), True))
@@ -218,7 +218,7 @@
         self.assertNotIn("attempt_abandoned", events)
 
     async def test_late_answer_of_another_attempt_is_discarded_and_counted(self):
-        """Guards against a stranger's answer, wherever the first try is sent."""
+        """An answer to another attempt must not reach the caller, from any engine."""
         with self.send_another_first(1):
             answers = [await self.stream(tokens=4) for _ in range(4)]
         for answer in answers:
@@ -227,7 +227,7 @@
         self.assertEqual(events.count("late_answer"), 1)
 
     async def test_engines_that_answer_wrongly_are_not_taken_for_crashed(self):
-        """Guards against proper work refused for engines' mixed-up answers."""
+        """Work must not be refused as crashing because engines mix up their answers."""
         with self.send_another_first(2):
             answers = [await self.stream(tokens=4) for _ in range(2)]
         for answer in answers:
@@ -237,7 +237,7 @@
 
     @contextlib.contextmanager
     def send_another_first(self, count):
-        """Let the first tries, at whichever engines, be answered wrongly."""
+        """Let the first attempts, at any engine, get the answer of another attempt."""
         left = [None] * count
 
         def patch(engine):
@@ -262,8 +262,8 @@
         await responder.write(b'data: {"choices":[{"delta":{"content":"no"}}]}\n\n')
         await responder.finish()
 
-    async def test_usage_beyond_reason_bills_within_the_bounds(self):
-        """An engine counts a negative number of tokens, or millions."""
+    async def test_absurd_usage_is_billed_within_the_bounds(self):
+        """An engine reports a negative or far too large number of tokens."""
         bound = len("tank") + len("user") + 64 + 8
         for usage, billed in (
             (Usage(-500, 2), 2),
@@ -271,34 +271,35 @@
             (Usage(10**9, 10**9), bound + 8),
         ):
             before = self.fleet.spent
-            with self.speak([Piece("ok", 1, "stop", usage)]):
+            with self.replace_pieces([Piece("ok", 1, "stop", usage)]):
                 self.assertEqual((await self.fleet.chat("tank")).status, 200)
             self.assertEqual(self.fleet.spent - before, billed)
 
-    async def test_answer_is_cut_at_what_was_reserved(self):
-        endless = [Piece(f"{n} ") for n in range(50)]
-        with self.speak(endless):
+    async def test_answer_is_cut_off_at_the_reserved_tokens(self):
+        pieces = [Piece(f"{n} ") for n in range(50)]
+        with self.replace_pieces(pieces):
             text, _, ended = read_events(await self.stream(tokens=3))
         self.assertEqual((text, ended), ("0 1 2 ", True))
 
-    async def test_refusal_after_a_sent_attempt_is_not_told_not_run(self):
-        """The first attempt broke off; for the second there is no engine left.
+    async def test_refusal_after_a_sent_attempt_has_fate_unknown(self):
+        """The first attempt fails after it was sent; no engine is left for a second.
 
-        The refusal said *not run* although the first attempt had run.
+        Guards against a refusal that says *not run* although the first attempt may
+        have run.
         """
         for engine in self.fleet.engines:
             engine.faults.fail = True
         answer = await self.fleet.chat("tank")
         self.assertEqual(read_code(answer)[1], "unknown")
 
-    async def test_whole_answer_whose_bill_fails_is_told_ran(self):
+    async def test_complete_answer_with_failed_bill_has_fate_ran(self):
         failing = AnvilshiftError(BUDGET_UNREACHABLE)
         treasury = self.fleet.nodes[0].treasury
         with mock.patch.object(treasury, "settle", side_effect=failing):
             answer = await self.fleet.chat("tank")
         self.assertEqual(read_code(answer), (4005, "ran"))
 
-    async def test_finished_answers_are_kept_within_a_bound(self):
+    async def test_finished_answers_are_kept_up_to_a_limit(self):
         with mock.patch.object(registry, "_MAX_FINISHED_CHARS", 200):
             for number in range(10):
                 await self.fleet.chat(f"tank {number}", tokens=10)
@@ -306,7 +307,7 @@
             self.assertLessEqual(sum(len(run.text) for run in kept), 200)
         self.assertGreater(len(kept), 0)
 
-    async def test_client_reads_on_after_its_router_is_lost(self):
+    async def test_client_continues_after_its_router_is_lost(self):
         self.set_faults(slow=5.0)
         client = self.fleet.client()
         client.look_up = self.look_up
--- a/tests/router/test_targets.py
+++ b/tests/router/test_targets.py
@@ -1,4 +1,4 @@
-"""What polls say of engines: which one has fallen silent."""
+"""Tests that unanswered polls show which engines are silent."""
 
 import asyncio
 import unittest
@@ -12,7 +12,7 @@
 
 
 class StubEngine:
-    """Answers polls as its name says."""
+    """An engine that responds to polls as its name says."""
 
     def __init__(self, name):
         self.name = name
@@ -34,7 +34,7 @@
 
 class SilenceTest(unittest.TestCase):
     def list_silent(self, seconds):
-        async def play():
+        async def poll_engines():
             targets = Targets(StubConnector(), VirtualClock())
             names = ("rejects", "times out", "hangs")
             engines = tuple(Engine(n, "127.0.0.1:1", "north") for n in names)
@@ -47,10 +47,13 @@
             await asyncio.gather(polling, return_exceptions=True)
             return [name for name in names if targets.is_silent(name)]
 
-        return run_virtual(play())
+        return run_virtual(poll_engines())
 
     def test_engine_that_never_answered_a_poll_is_found_silent(self):
-        """Guards against requests kept to their deadline by an engine paused early."""
+        """Guards against requests that wait until their deadline for a paused engine.
+
+        The engine was paused before it answered its first poll.
+        """
         self.assertEqual(self.list_silent(1.0), [])
         self.assertEqual(self.list_silent(5.0), ["times out", "hangs"])
 
