--- a/anvilshift/router/branch.py
+++ b/anvilshift/router/branch.py
@@ -369,7 +369,7 @@
                     sealed.holder, released, sealed.holder
                 )
             except AnvilshiftError as error:
-                logging.warning("submit failed code=%d", error.code.number)
+                logging.warning("bill submission failed code=%d", error.code.number)
                 await asyncio.sleep(self._spacing / SECOND)
                 continue
             self.escrow.adopt(states, released)
