--- a/anvilshift/router/branch.py
+++ b/anvilshift/router/branch.py
@@ -226,16 +226,15 @@
             return False
         witness = escrow.purses[account].grant.witness
         copies = ((account, bill),)
-        # Only the witness's copies are counted when the amount in doubt is
-        # resolved.  Copies at other routers serve to record the bill if holder and
-        # witness are lost together.
+        # Copies at other routers can't close the amount in doubt; they serve to
+        # record the bill if holder and witness are lost together.
         peer_copies = self._hooks.keep_copies(escrow.holder, copies, witness)
         if not witness:
             await peer_copies
             return True
-        # The witness must have its copy before the answer ends: otherwise, closing
-        # this holder from the witness's copies would return tokens to the budget
-        # that this answer has spent.
+        # The witness must have its copy before the answer ends: otherwise, when the
+        # witness closes the amount in doubt of a lost holder, tokens that this
+        # answer has spent would return to the budget.
         witness_copy = self._hooks.keep_witnessed(witness, escrow.holder, copies)
         kept, _ = await asyncio.gather(witness_copy, peer_copies)
         return kept
