--- a/anvilshift/core/cushions.py
+++ b/anvilshift/core/cushions.py
@@ -75,7 +75,7 @@
 
 
 @dataclass
-class Purse:
+class Balance:
     """One organisation's tokens at this router.
 
     Parameters
--- a/anvilshift/core/escrow.py
+++ b/anvilshift/core/escrow.py
@@ -12,7 +12,7 @@
 from anvilshift.core.clock import Millis
 from anvilshift.core.errors import InvariantError
 from anvilshift.core.ledger import BillKey, Commit, Outcome
-from anvilshift.core.purse import Purse
+from anvilshift.core.purse import GrantState
 
 Bills = tuple[tuple[str, Bill], ...]
 """Pairs of account name and bill."""
@@ -42,35 +42,37 @@
         self.joined = False
         self.begun = 0
         self.witness = ""
-        self.purses: dict[str, Purse] = {}
+        self.grant_states: dict[str, GrantState] = {}
 
     def open(self, account: str, allowance: int, level: int) -> None:
         """Start to hold tokens of an account, or change its allowance and level."""
-        purse = self.purses.setdefault(account, Purse(account, allowance, level))
-        purse.allowance = allowance
-        purse.level = level
-        purse.witness = self.witness
+        state = self.grant_states.setdefault(
+            account, GrantState(account, allowance, level)
+        )
+        state.allowance = allowance
+        state.level = level
+        state.witness = self.witness
 
     def choose_witness(self, witness: str) -> None:
         """Set the router that keeps copies of bills, effective with the next commit."""
         self.witness = witness
-        for purse in self.purses.values():
-            purse.witness = witness
+        for state in self.grant_states.values():
+            state.witness = witness
 
     def reserve(self, account: str, key: str, tokens: int, now: Millis = 0.0) -> bool:
         """Reserve tokens for a request; return False if too few are available."""
-        return self.purses[account].reserve(key, tokens, now)
+        return self.grant_states[account].reserve(key, tokens, now)
 
     def release(self, account: str, key: str) -> None:
         """Cancel the reservation of a request that costs nothing."""
-        purse = self.purses[account]
-        purse.reserved.pop(key, None)
-        purse.waiting.pop(key, None)
-        purse.carried.discard(key)
+        state = self.grant_states[account]
+        state.reserved.pop(key, None)
+        state.waiting.pop(key, None)
+        state.carried.discard(key)
 
     def bill(self, account: str, bill: Bill) -> None:
         """Replace a reservation by a bill that is pending until it is recorded."""
-        self.purses[account].bill(replace(bill, after=self.begun))
+        self.grant_states[account].bill(replace(bill, after=self.begun))
 
     def release_early(self, account: str, key: str) -> bool:
         """Tell whether an answer may end before its bill is recorded; if so, mark it.
@@ -79,21 +81,21 @@
         if this holder is lost, sealing it leaves these tokens in doubt, and no
         other holder can draw them.
         """
-        return self.purses[account].mark_released(key)
+        return self.grant_states[account].mark_released(key)
 
     def wants_commit(self, now: Millis = 0.0) -> bool:
         """Tell whether there is a bill to record or a grant to change."""
         return any(
-            purse.needs_draw(now) or (purse.pending and not purse.frozen)
-            for purse in self.purses.values()
+            state.needs_draw(now) or (state.pending and not state.frozen)
+            for state in self.grant_states.values()
         )
 
     def begin_commit(self, now: Millis = 0.0) -> Commit:
         """Return the commit that records all pending bills and changes grants."""
         draws = {
-            name: purse.draw(now)
-            for name, purse in self.purses.items()
-            if purse.needs_draw(now)
+            name: state.draw(now)
+            for name, state in self.grant_states.items()
+            if state.needs_draw(now)
         }
         return self._make_commit(draws)
 
@@ -105,9 +107,9 @@
     def _list_bills(self) -> Bills:
         return tuple(
             (name, bill)
-            for name, purse in self.purses.items()
-            for bill in purse.pending.values()
-            if not purse.frozen
+            for name, state in self.grant_states.items()
+            for bill in state.pending.values()
+            if not state.frozen
         )
 
     def finish_commit(
@@ -122,51 +124,51 @@
             free = outcome.free.get(name, 0)
             elsewhere = outcome.elsewhere.get(name, 0)
             try:
-                self.purses[name].take(grant, free, elsewhere, now)
+                self.grant_states[name].take(grant, free, elsewhere, now)
             except InvariantError:
-                self.purses[name].frozen = True
+                self.grant_states[name].frozen = True
         for name in outcome.frozen:
-            self.purses[name].frozen = True
+            self.grant_states[name].frozen = True
         return outcome.bills
 
     def _drop_bill(self, name: str, key: str, state: BillState) -> None:
-        purse = self.purses[name]
+        grant_state = self.grant_states[name]
         # The ledger recorded the allowance in advance, so it can't refuse a bill
         # released within it.  If it does, the account is inconsistent.
-        if state is BillState.REFUSED and key in purse.released:
-            purse.frozen = True
-        purse.pending.pop(key, None)
-        purse.released.discard(key)
+        if state is BillState.REFUSED and key in grant_state.released:
+            grant_state.frozen = True
+        grant_state.pending.pop(key, None)
+        grant_state.released.discard(key)
 
     def give_back(
         self, account: str | None = None, now: Millis = 0.0, closing: bool = False
     ) -> Commit:
         """Return the commit that returns unreserved tokens of one or all accounts."""
         draws = {}
-        for name, purse in self.purses.items():
-            if account in (None, name) and not purse.frozen:
-                purse.give(now)
-                purse.giving = True
-                draws[name] = purse.draw(now)
+        for name, state in self.grant_states.items():
+            if account in (None, name) and not state.frozen:
+                state.give(now)
+                state.giving = True
+                draws[name] = state.draw(now)
         return self._make_commit(draws, closing)
 
     def close(self) -> Commit:
         """Return the commit that records all pending bills and ends the holder."""
-        for purse in self.purses.values():
-            purse.reserved.clear()
-            purse.waiting.clear()
+        for state in self.grant_states.values():
+            state.reserved.clear()
+            state.waiting.clear()
         return self.give_back(closing=True)
 
     def list_frozen(self) -> set[str]:
         """Return the names of the frozen accounts."""
-        return {name for name, purse in self.purses.items() if purse.frozen}
+        return {name for name, state in self.grant_states.items() if state.frozen}
 
     def list_released(self) -> Bills:
         """Return the pending bills whose answers may have ended."""
         return tuple(
-            (name, purse.pending[key])
-            for name, purse in self.purses.items()
-            for key in sorted(purse.released)
+            (name, state.pending[key])
+            for name, state in self.grant_states.items()
+            for key in sorted(state.released)
         )
 
     def drop_judged(self, states: Mapping[BillKey, BillState]) -> None:
@@ -182,12 +184,14 @@
         """
         for name, bill in bills:
             if states.get((name, bill.key)) is BillState.REFUSED:
-                purse = self.purses[name]
+                grant_state = self.grant_states[name]
                 adopted = replace(bill, holder=self.holder, after=self.begun)
-                purse.pending.setdefault(bill.key, adopted)
+                grant_state.pending.setdefault(bill.key, adopted)
                 # The bill may use tokens that cover other reservations here, so
                 # these count as carried too until the grant covers everything.
-                purse.carried = set(purse.reserved) | set(purse.pending)
+                grant_state.carried = set(grant_state.reserved) | set(
+                    grant_state.pending
+                )
 
     def succeed(self, holder: str) -> "Escrow":
         """Return the escrow of the holder that replaces this sealed one.
@@ -198,15 +202,15 @@
         """
         successor = Escrow(holder)
         successor.witness = self.witness
-        for name, purse in self.purses.items():
-            successor.open(name, purse.allowance, purse.level)
-            new = successor.purses[name]
-            new.recent_use, new.used_at = purse.recent_use, purse.used_at
-            new.frozen = purse.frozen
-            new.reserved = dict(purse.reserved)
-            new.waiting = dict(purse.waiting)
-            for key, bill in purse.pending.items():
-                if key not in purse.released:
+        for name, state in self.grant_states.items():
+            successor.open(name, state.allowance, state.level)
+            new = successor.grant_states[name]
+            new.recent_use, new.used_at = state.recent_use, state.used_at
+            new.frozen = state.frozen
+            new.reserved = dict(state.reserved)
+            new.waiting = dict(state.waiting)
+            for key, bill in state.pending.items():
+                if key not in state.released:
                     new.pending[key] = replace(bill, holder=holder, after=0)
             new.carried = set(new.reserved) | set(new.pending)
         return successor
--- a/anvilshift/core/purse.py
+++ b/anvilshift/core/purse.py
@@ -50,7 +50,7 @@
 
 
 @dataclass
-class Purse:
+class GrantState:
     """A holder's local state for one account.
 
     Parameters
--- a/anvilshift/core/wallet.py
+++ b/anvilshift/core/wallet.py
@@ -15,7 +15,7 @@
 
 from anvilshift.core.allotments import Allotment, Allotments, Wish
 from anvilshift.core.clock import SECOND, Millis
-from anvilshift.core.cushions import Pace, Purse
+from anvilshift.core.cushions import Balance, Pace
 from anvilshift.core.keepers import KeeperMap
 from anvilshift.core.usage import Use, UseRecord
 
@@ -47,70 +47,70 @@
     >>> wallet.reserve("pounds", "a", 60, now=1.0)
     True
     >>> wallet.settle("pounds", "a", 25, now=2.0)
-    >>> wallet.purses["pounds"].available(now=2.0)
+    >>> wallet.balances["pounds"].available(now=2.0)
     75
     """
 
     def __init__(self, holder: str) -> None:
         self.holder = holder
-        self.purses: dict[str, Purse] = {}
+        self.balances: dict[str, Balance] = {}
         self.seen = Allotments()
 
     def configure(self, totals: Mapping[str, int | None], now: Millis) -> None:
         """Apply the totals of a configuration; None means no limit."""
         for name, total in totals.items():
-            purse = self.purses.setdefault(name, Purse())
-            purse.limited = total is not None
-            if total is not None and total < purse.total:
+            balance = self.balances.setdefault(name, Balance())
+            balance.limited = total is not None
+            if total is not None and total < balance.total:
                 # The total was reduced, so the tokens held here may exceed what
                 # is left.  They are returned before anything else is drawn.
-                purse.ceiling = min(purse.ceiling, purse.spent)
-            if total is not None and total > purse.total:
-                purse.free_until = now
-            purse.total = total or 0
+                balance.ceiling = min(balance.ceiling, balance.spent)
+            if total is not None and total > balance.total:
+                balance.free_until = now
+            balance.total = total or 0
 
     def reserve(self, name: str, key: str, tokens: int, now: Millis) -> bool:
         """Reserve tokens for a request; return False if too few are available."""
-        purse = self.purses.setdefault(name, Purse())
-        if purse.limited and tokens > purse.available(now):
-            purse.waiting[key] = tokens
+        balance = self.balances.setdefault(name, Balance())
+        if balance.limited and tokens > balance.available(now):
+            balance.waiting[key] = tokens
             return False
-        purse.waiting.pop(key, None)
-        purse.reserved[key] = tokens
-        purse.busy_at = now
+        balance.waiting.pop(key, None)
+        balance.reserved[key] = tokens
+        balance.busy_at = now
         return True
 
     def is_dry(self, name: str, now: Millis) -> bool:
         """Tell whether too few tokens were free as of the last write."""
-        purse = self.purses.get(name)
-        return purse is not None and purse.is_dry(now)
+        balance = self.balances.get(name)
+        return balance is not None and balance.is_dry(now)
 
     def give_up(self, name: str, key: str) -> None:
         """Remove a request that was waiting for tokens."""
-        self.purses[name].waiting.pop(key, None)
+        self.balances[name].waiting.pop(key, None)
 
     def settle(self, name: str, key: str, tokens: int, now: Millis) -> None:
         """Replace a reservation by the tokens used; 0 returns all of it."""
-        purse = self.purses[name]
-        used = min(tokens, purse.reserved.pop(key, 0))
-        purse.settled += used
+        balance = self.balances[name]
+        used = min(tokens, balance.reserved.pop(key, 0))
+        balance.settled += used
         if used:
-            purse.count_use(used, now)
+            balance.count_use(used, now)
 
     def wants_change(self, now: Millis) -> bool:
         """Tell whether this router's shares in the store should change."""
-        return any(purse.needs_change(now) for purse in self.purses.values())
+        return any(balance.needs_change(now) for balance in self.balances.values())
 
     def is_waited_for(self, now: Millis) -> bool:
         """Tell whether a request waits for tokens that can be drawn now."""
         return any(
-            purse.lacks() and purse.draws(now) and not purse.is_dry(now)
-            for purse in self.purses.values()
+            balance.lacks() and balance.draws(now) and not balance.is_dry(now)
+            for balance in self.balances.values()
         )
 
     def note_unkept(self, name: str, now: Millis) -> None:
         """Record that no keeper of an organisation's tokens answered."""
-        self.purses[name].unkept_until = now + _SELF_DRAW_SPAN
+        self.balances[name].unkept_until = now + _SELF_DRAW_SPAN
 
     def make_wishes(self, now: Millis) -> dict[str, Wish]:
         """Return the share changes to request, after applying reductions locally.
@@ -120,10 +120,10 @@
         router has since drawn.
         """
         wishes = {}
-        for name, purse in self.purses.items():
-            if purse.needs_change(now):
-                wishes[name] = purse.make_wish(now)
-                purse.ceiling = min(purse.ceiling, wishes[name].ceiling)
+        for name, balance in self.balances.items():
+            if balance.needs_change(now):
+                wishes[name] = balance.make_wish(now)
+                balance.ceiling = min(balance.ceiling, wishes[name].ceiling)
         return wishes
 
     def take(
@@ -137,38 +137,38 @@
             How long the free tokens count as known.
         """
         self.seen = allotments
-        for name, purse in self.purses.items():
-            purse.ceiling = max(allotments.ceiling(name, self.holder), purse.spent)
+        for name, balance in self.balances.items():
+            balance.ceiling = max(allotments.ceiling(name, self.holder), balance.spent)
             known = allotments.of(name)
-            purse.left = (
+            balance.left = (
                 known.total
                 - known.closed
                 - sum(share.recorded for share in known.shares.values())
             )
-            purse.free, purse.free_until = known.free, now + known_for
+            balance.free, balance.free_until = known.free, now + known_for
 
     def set_provable(self, provable: bool) -> None:
         """Set whether a successor could prove how many tokens were spent here."""
-        for purse in self.purses.values():
-            purse.provable = provable
+        for balance in self.balances.values():
+            balance.provable = provable
 
     def set_keepers(self, keepers: KeeperMap) -> None:
         """Update which routers are the keepers of each organisation's tokens."""
-        for name, purse in self.purses.items():
-            purse.rank = keepers.find_rank(name)
-            purse.keepers = len(keepers.list_keepers(name))
+        for name, balance in self.balances.items():
+            balance.rank = keepers.find_rank(name)
+            balance.keepers = len(keepers.list_keepers(name))
 
     def keeps_any(self) -> bool:
         """Tell whether this router must record its use of any organisation's tokens."""
         return any(
-            purse.limited and (purse.keeping or purse.is_paced())
-            for purse in self.purses.values()
+            balance.limited and (balance.keeping or balance.is_paced())
+            for balance in self.balances.values()
         )
 
     def make_uses(self, now: Millis) -> dict[str, Use]:
         """Return the use of every limited organisation to write to the record."""
-        limited = {name: p for name, p in self.purses.items() if p.limited}
-        return {name: purse.make_use(now) for name, purse in limited.items()}
+        limited = {name: p for name, p in self.balances.items() if p.limited}
+        return {name: balance.make_use(now) for name, balance in limited.items()}
 
     def pace(self, record: UseRecord) -> None:
         """Limit spending by a record of use that is about to be written.
@@ -176,17 +176,17 @@
         The limit applies before the write, which may take effect unnoticed.
         """
         for name, use in record.uses.items():
-            if name in self.purses:
-                self.purses[name].paces += (Pace(record.anchor, use),)
+            if name in self.balances:
+                self.balances[name].paces += (Pace(record.anchor, use),)
 
     def settle_pace(self, record: UseRecord) -> None:
         """Limit spending only by a record that the store has confirmed.
 
         Earlier writes without a response can no longer take effect.
         """
-        for name, purse in self.purses.items():
+        for name, balance in self.balances.items():
             use = record.uses.get(name)
-            purse.paces = (Pace(record.anchor, use),) if use else ()
+            balance.paces = (Pace(record.anchor, use),) if use else ()
 
     def hand_over(self, name: str, key: str, now: Millis) -> int:
         """Transfer the tokens of a reservation to another router; return their number.
@@ -198,15 +198,15 @@
         Examples
         --------
         >>> wallet = Wallet("r1")
-        >>> wallet.purses["pounds"] = Purse(total=100, ceiling=100)
+        >>> wallet.balances["pounds"] = Balance(total=100, ceiling=100)
         >>> wallet.reserve("pounds", "r2/7", 80, now=0.0)
         True
         >>> wallet.hand_over("pounds", "r2/7", now=0.0)
         80
-        >>> wallet.purses["pounds"].available(0.0)
+        >>> wallet.balances["pounds"].available(0.0)
         20
         """
-        given = self.purses[name].reserved.get(key, 0)
+        given = self.balances[name].reserved.get(key, 0)
         self.settle(name, key, given, now)
         return given
 
@@ -215,30 +215,30 @@
 
         Only organisations for which this router is not a keeper are listed.
         """
-        idle = {name: p.find_idle(now) for name, p in self.purses.items()}
+        idle = {name: p.find_idle(now) for name, p in self.balances.items()}
         return {name: tokens for name, tokens in idle.items() if tokens > 0}
 
     def take_out(self, name: str, tokens: int) -> None:
         """Count tokens as spent that are about to be transferred."""
-        self.purses[name].settled += tokens
+        self.balances[name].settled += tokens
 
     def find_wait(self, name: str, key: str, now: Millis) -> Millis | None:
         """Return how long until a waiting request may reserve if nothing is drawn.
 
         Requests that began to wait earlier go first.  None means never.
         """
-        purse = self.purses[name]
+        balance = self.balances[name]
         tokens = 0
-        for waiting_key, needed in purse.waiting.items():
+        for waiting_key, needed in balance.waiting.items():
             tokens += needed
             if waiting_key == key:
                 break
-        return purse.find_wait(tokens, now)
+        return balance.find_wait(tokens, now)
 
     def receive(self, name: str, tokens: int) -> None:
         """Add tokens that another router transferred."""
-        if name in self.purses:
-            self.purses[name].settled -= tokens
+        if name in self.balances:
+            self.balances[name].settled -= tokens
 
     def is_exhausted(self, name: str, tokens: int) -> bool:
         """Tell whether the total certainly can't cover this many tokens.
@@ -247,9 +247,9 @@
         in doubt of holders that ended, may be unspent; exhaustion is not certain
         while they would cover the request.
         """
-        purse = self.purses[name]
+        balance = self.balances[name]
         known: Allotment = self.seen.of(name)
-        total = min(purse.total, known.total) if known.version else purse.total
+        total = min(balance.total, known.total) if known.version else balance.total
         own = known.shares.get(self.holder)
         others = known.spent_at_least() - (own.recorded if own else 0)
-        return total - others - purse.spent < tokens
+        return total - others - balance.spent < tokens
--- a/anvilshift/gateway/allotting.py
+++ b/anvilshift/gateway/allotting.py
@@ -146,7 +146,7 @@
 
     def list_spent(self) -> dict[str, int]:
         """Return the tokens spent or reserved here, by organisation."""
-        return {name: purse.spent for name, purse in self.wallet.purses.items()}
+        return {name: balance.spent for name, balance in self.wallet.balances.items()}
 
     async def run(self) -> None:
         """Draw and return tokens until cancelled."""
@@ -284,8 +284,8 @@
             free=sum(one.free for one in shares.values()),
             closed=sum(one.closed for one in shares.values()),
             doubt=sum(one.doubt for one in shares.values()),
-            own_spent=sum(purse.spent for purse in self.wallet.purses.values()),
-            own_ready=sum(purse.ready for purse in self.wallet.purses.values()),
+            own_spent=sum(balance.spent for balance in self.wallet.balances.values()),
+            own_ready=sum(balance.ready for balance in self.wallet.balances.values()),
         )
 
     def _end_former(self, allotments: Allotments) -> Allotments:
@@ -310,8 +310,8 @@
         """End this router's share, which returns all unspent tokens to the total."""
         self._closed = True
         spent = {name: Spent(one, one) for name, one in self.list_spent().items()}
-        for purse in self.wallet.purses.values():
-            purse.ceiling = purse.spent
+        for balance in self.wallet.balances.values():
+            balance.ceiling = balance.spent
 
         def change(body: Body | None) -> Body:
             allotments = read_allotments(body).end(self.holder, spent)
--- a/anvilshift/gateway/reserving.py
+++ b/anvilshift/gateway/reserving.py
@@ -178,11 +178,11 @@
 
     def _request_tokens(self, name: str, tokens: int, number: int, now: Millis) -> None:
         """Trigger a record, an ask or a draw, whichever may provide the tokens."""
-        search, purse = self._searches[number], self.wallet.purses[name]
-        if self.recorder and tokens <= purse.ready:
+        search, balance = self._searches[number], self.wallet.balances[name]
+        if self.recorder and tokens <= balance.ready:
             self.recorder.record_soon()
         keeper = search.find_next(now)
-        lacking = max(1, tokens - max(0, purse.available(now)))
+        lacking = max(1, tokens - max(0, balance.available(now)))
         if keeper is not None and not self.ask(keeper, number, name, lacking):
             search.skip()
         if search.is_unanswered(now):
@@ -191,14 +191,14 @@
 
     def _has_failed(self, name: str, tokens: int, search: TokenHunt) -> bool:
         """Tell whether no keeper, no record and no draw can provide the tokens."""
-        now, purse = self.clock.now(), self.wallet.purses[name]
+        now, balance = self.clock.now(), self.wallet.balances[name]
         if not search.is_over(now):
             return False
-        if self.allotter.has_just_started() and purse.draws(now):
+        if self.allotter.has_just_started() and balance.draws(now):
             return False
-        if self._may_record(search) and tokens <= purse.ready:
+        if self._may_record(search) and tokens <= balance.ready:
             return False
-        if not purse.draws(now):
+        if not balance.draws(now):
             return True
         stale = self.allotter.failing or self.wallet.is_dry(name, now)
         return stale or search.has_drawn(self.allotter.writes_ended)
@@ -245,20 +245,20 @@
     def _make_refusal(
         self, name: str, tokens: int, certain: bool, wait: Millis | None
     ) -> AnvilshiftError:
-        purse, now = self.wallet.purses[name], self.clock.now()
+        balance, now = self.wallet.balances[name], self.clock.now()
         known = self.wallet.seen.of(name)
         self.journal.write(
             "budget_refused",
             organisation=name,
             tokens=tokens,
-            available=purse.available(now),
-            ready=purse.ready,
-            total=purse.total,
+            available=balance.available(now),
+            ready=balance.ready,
+            total=balance.total,
             free=known.free,
             closed=known.closed,
             doubt=known.doubt,
-            spent=purse.spent,
-            keeping=purse.keeping,
+            spent=balance.spent,
+            keeping=balance.keeping,
             certain=certain,
             wait=wait,
             share_age=round(self.allotter.find_shares_age()),
@@ -287,7 +287,7 @@
 
     async def _answer(self, ask: Ask) -> Gift | Lack:
         name, key = ask.organisation, f"{ask.holder}#{ask.number}"
-        if name not in self.wallet.purses:
+        if name not in self.wallet.balances:
             return Lack(ask.holder, ask.number, name, False, _RETRY_DELAY)
         now = self.clock.now()
         if not self.wallet.reserve(name, key, ask.tokens, now):
--- a/anvilshift/router/branch.py
+++ b/anvilshift/router/branch.py
@@ -123,7 +123,7 @@
         finally:
             # If a refused request stayed in the list, commits would go on drawing
             # tokens for it that requests at other routers need.
-            self.escrow.purses[account].waiting.pop(key, None)
+            self.escrow.grant_states[account].waiting.pop(key, None)
 
     async def _reserve(self, account: str, key: str, tokens: int) -> None:
         for attempt in range(_MAX_REFILLS + 1):
@@ -133,7 +133,7 @@
             if self.platform_out or attempt == _MAX_REFILLS:
                 break
             # The first commit reads how many tokens other routers hold.
-            if attempt and not self.escrow.purses[account].elsewhere:
+            if attempt and not self.escrow.grant_states[account].elsewhere:
                 break
             if attempt:
                 await self._ask_peers(account)
@@ -142,7 +142,7 @@
 
     def _try_reserve(self, account: str, key: str, tokens: int) -> bool:
         now = self._clock.now()
-        if self.escrow.purses[account].frozen:
+        if self.escrow.grant_states[account].frozen:
             raise AnvilshiftError(BUDGET_FROZEN)
         if not self.escrow.reserve(account, key, tokens, now):
             return False
@@ -160,21 +160,21 @@
         await asyncio.wait([self._peer_requests[account]])
 
     def _raise_cached_refusal(self, account: str, tokens: int) -> None:
-        purse = self.escrow.purses[account]
-        code = purse.recall_refusal(tokens, self._clock.now())
+        grant_state = self.escrow.grant_states[account]
+        code = grant_state.recall_refusal(tokens, self._clock.now())
         if code is not None:
             raise make_refusal(code)
 
     def _refuse(self, account: str, key: str, tokens: int) -> None:
-        purse = self.escrow.purses[account]
+        grant_state = self.escrow.grant_states[account]
         if self.platform_out or self._failing_since is not None:
             detail = "the platform is unavailable and this router's grant is spent"
             raise AnvilshiftError(BUDGET_UNREACHABLE, detail, 2 * SECOND)
-        raise make_refusal(purse.refuse(key, tokens, self._clock.now()))
+        raise make_refusal(grant_state.refuse(key, tokens, self._clock.now()))
 
     def release(self, account: str, key: str) -> None:
         """Cancel the reservation of a request that is not billed."""
-        if account in self.escrow.purses:
+        if account in self.escrow.grant_states:
             self.escrow.release(account, key)
 
     async def settle(self, account: str, bill: Bill, until: Millis | None) -> None:
@@ -183,7 +183,7 @@
         That is when the bill is committed, or when it is released early within
         the allowance because commits are late or failing.
         """
-        if bill.key not in self.escrow.purses[account].reserved:
+        if bill.key not in self.escrow.grant_states[account].reserved:
             await self._reserve_after_run(account, bill)
         self.escrow.bill(account, replace(bill, holder=self.escrow.holder))
         outcome = self._outcomes.expect(account, bill.key)
@@ -219,12 +219,12 @@
 
     async def _release_early(self, account: str, key: str) -> bool:
         escrow = self.escrow
-        bill = escrow.purses[account].pending.get(key)
+        bill = escrow.grant_states[account].pending.get(key)
         # A bill that isn't pending here is being submitted for a sealed holder;
         # the answer can only end when it is recorded.
         if bill is None or not escrow.release_early(account, key):
             return False
-        witness = escrow.purses[account].grant.witness
+        witness = escrow.grant_states[account].grant.witness
         copies = ((account, bill),)
         # Copies at other routers can't close the amount in doubt; they serve to
         # record the bill if holder and witness are lost together.
@@ -380,19 +380,19 @@
 
     async def give_back(self, account: str | None) -> bool:
         """Return unreserved tokens to the budget; False if that wasn't recorded."""
-        purses = self.escrow.purses
-        names = [name for name in purses if account in (None, name)]
+        grant_states = self.escrow.grant_states
+        names = [name for name in grant_states if account in (None, name)]
         for name in names:
-            purses[name].give(self._clock.now())
-        if any(purses[name].giving for name in names):
+            grant_states[name].give(self._clock.now())
+        if any(grant_states[name].giving for name in names):
             await self._wait_next_commit()
         return self._failing_since is None
 
     def is_settled(self) -> bool:
         """Tell whether every bill and every return of tokens is recorded."""
-        purses = self.escrow.purses.values()
-        open_purses = [purse for purse in purses if purse.pending or purse.giving]
-        return self._failing_since is None and not open_purses
+        grant_states = self.escrow.grant_states.values()
+        open_states = [s for s in grant_states if s.pending or s.giving]
+        return self._failing_since is None and not open_states
 
     async def close(self) -> None:
         """Stop the background task, commit all bills and return the grants."""
--- a/anvilshift/router/treasury.py
+++ b/anvilshift/router/treasury.py
@@ -96,7 +96,7 @@
         """Apply the declared budgets to the accounts that are open here."""
         self._budgets = budgets
         for branch in self.branches:
-            for account in branch.escrow.purses:
+            for account in branch.escrow.grant_states:
                 if account in budgets:
                     self._open_account(branch, account)
 
@@ -108,7 +108,7 @@
         if not self._shards:
             self._shards = await read_shards(self._store)
         branch = self._make_branch(ledger_name(account, self._shards))
-        if account not in branch.escrow.purses:
+        if account not in branch.escrow.grant_states:
             self._open_account(branch, account)
         return branch
 
@@ -257,7 +257,7 @@
         results = [
             await branch.give_back(account)
             for branch in self.branches
-            if account is None or account in branch.escrow.purses
+            if account is None or account in branch.escrow.grant_states
         ]
         return all(results)
 
--- a/bench/budgets.py
+++ b/bench/budgets.py
@@ -122,7 +122,7 @@
         if not self._escrow.reserve(account, key, tokens):
             await self._commit()
         if not self._escrow.reserve(account, key, tokens):
-            code = self._escrow.purses[account].refuse(key, tokens, 0.0)
+            code = self._escrow.grant_states[account].refuse(key, tokens, 0.0)
             raise AnvilshiftError(code)
 
     def release(self, account: str, key: str) -> None:
--- a/bench/ledgers.py
+++ b/bench/ledgers.py
@@ -1,4 +1,4 @@
-"""What ledgers and purses cost by size, measured in one process."""
+"""What ledgers and grants cost by size, measured in one process."""
 
 from anvilshift.core.escrow import Escrow
 from anvilshift.core.ledger import Bill, Commit, Draw, Grant, Ledger, Outcome
@@ -71,7 +71,7 @@
 
 
 def make_escrow(size: int) -> Escrow:
-    """Return a holder with a purse of each of many budgets."""
+    """Return a holder with a grant of each of many budgets."""
     escrow = Escrow("router-0000-0123456789ab")
     for index in range(size):
         escrow.open(f"budget-{index:05}", 2_000, 20_000)
@@ -82,11 +82,11 @@
 
 
 def begin_commit(size: int) -> float:
-    """Return microseconds to gather a commit, by purses that a router holds."""
+    """Return microseconds to gather a commit, by grants that a router holds."""
     escrow = make_escrow(size)
     return time_micros(lambda: escrow.begin_commit())
 
 
 def weigh_escrow(size: int) -> float:
-    """Return the bytes of memory of a router's purses."""
+    """Return the bytes of memory of a router's grants."""
     return weigh_bytes(lambda: make_escrow(size))
--- a/tests/core/test_budget_machine.py
+++ b/tests/core/test_budget_machine.py
@@ -34,8 +34,8 @@
         return router
 
     @property
-    def purse(self):
-        return self.escrow.purses["pounds"]
+    def grant_state(self):
+        return self.escrow.grant_states["pounds"]
 
 
 class BudgetRun:
@@ -98,11 +98,11 @@
 
     def release_early(self, at, reachable):
         router = self.routers[at]
-        for key in list(router.purse.pending):
+        for key in list(router.grant_state.pending):
             if not router.escrow.release_early("pounds", key):
                 continue
-            bills = (("pounds", router.purse.pending[key]),)
-            holder, witness = router.escrow.holder, router.purse.grant.witness
+            bills = (("pounds", router.grant_state.pending[key]),)
+            holder, witness = router.escrow.holder, router.grant_state.grant.witness
             kept = [
                 reachable and one.copies.add(holder, bills, witness)
                 for one in self.routers
@@ -142,7 +142,7 @@
         self.add_answered(outcome.bills)
         if not outcome.sealed:
             router.escrow.finish_commit(commit, outcome, float(self.now))
-            assert not router.purse.frozen
+            assert not router.grant_state.frozen
             return
         router.escrow.drop_judged(outcome.bills)
         router.sealed.append(router.escrow)
@@ -197,7 +197,7 @@
                 self.commit(at, True, "done")
             self.submit_released(at)
             self.commit(at, True, "done")
-            assert not router.purse.pending
+            assert not router.grant_state.pending
         self.check()
         if not self.killed:
             spent = self.ledger.account("pounds").spent
--- a/tests/core/test_escrow.py
+++ b/tests/core/test_escrow.py
@@ -112,10 +112,10 @@
 
     def test_refusal_tells_unreachable_from_exhausted(self):
         escrow, _ = make_escrow()
-        purse = escrow.purses["pounds"]
-        purse.take(Grant(), free=0, elsewhere=300, now=0.0)
-        self.assertEqual(purse.refuse("a", 300, now=0.0), BUDGET_UNREACHABLE)
-        self.assertEqual(purse.refuse("a", 301, now=0.0), BUDGET_EXHAUSTED)
-        self.assertEqual(purse.recall_refusal(400, now=500.0), BUDGET_EXHAUSTED)
-        self.assertIsNone(purse.recall_refusal(300, now=500.0))
-        self.assertIsNone(purse.recall_refusal(400, now=900.0))
+        grant_state = escrow.grant_states["pounds"]
+        grant_state.take(Grant(), free=0, elsewhere=300, now=0.0)
+        self.assertEqual(grant_state.refuse("a", 300, now=0.0), BUDGET_UNREACHABLE)
+        self.assertEqual(grant_state.refuse("a", 301, now=0.0), BUDGET_EXHAUSTED)
+        self.assertEqual(grant_state.recall_refusal(400, now=500.0), BUDGET_EXHAUSTED)
+        self.assertIsNone(grant_state.recall_refusal(300, now=500.0))
+        self.assertIsNone(grant_state.recall_refusal(400, now=900.0))
--- a/tests/core/test_wallet.py
+++ b/tests/core/test_wallet.py
@@ -1,7 +1,7 @@
 import unittest
 
 from anvilshift.core.allotments import Allotment, Allotments, Share
-from anvilshift.core.cushions import Purse
+from anvilshift.core.cushions import Balance
 from anvilshift.core.usage import Use, UseRecord
 from anvilshift.core.wallet import Wallet
 
@@ -23,13 +23,13 @@
         self.assertFalse(wallet.reserve(POUNDS, "b", 30, 0.0))
         wallet.settle(POUNDS, "a", 50, 1.0)
         self.assertTrue(wallet.reserve(POUNDS, "b", 30, 2.0))
-        self.assertEqual(wallet.purses[POUNDS].available(2.0), 20)
+        self.assertEqual(wallet.balances[POUNDS].available(2.0), 20)
 
     def test_a_request_never_costs_more_than_it_reserved(self):
         wallet = make_wallet(ceiling=100)
         wallet.reserve(POUNDS, "a", 80, 0.0)
         wallet.settle(POUNDS, "a", 1_000, 1.0)
-        self.assertEqual(wallet.purses[POUNDS].spent, 80)
+        self.assertEqual(wallet.balances[POUNDS].spent, 80)
 
     def test_an_organisation_without_a_total_is_not_limited(self):
         wallet = Wallet("r1")
@@ -46,7 +46,7 @@
         wallet = make_wallet(ceiling=9_000)
         wish = wallet.make_wishes(now=0.0)[POUNDS]
         self.assertLess(wish.ceiling, 9_000)
-        self.assertEqual(wallet.purses[POUNDS].ceiling, wish.ceiling)
+        self.assertEqual(wallet.balances[POUNDS].ceiling, wish.ceiling)
 
     def test_transferred_tokens_count_once(self):
         giver, receiver = make_wallet(ceiling=100), make_wallet(ceiling=0)
@@ -54,7 +54,7 @@
         given = giver.hand_over(POUNDS, "r2/1", 0.0)
         self.assertEqual(given, 50)
         receiver.receive(POUNDS, given)
-        together = giver.purses[POUNDS].ready + receiver.purses[POUNDS].ready
+        together = giver.balances[POUNDS].ready + receiver.balances[POUNDS].ready
         self.assertEqual(together, 100)
 
     def test_a_reduced_total_disables_held_tokens_at_once(self):
@@ -69,7 +69,7 @@
             now = second * 1_000.0
             wallet.reserve(POUNDS, str(second), 5_000, now)
             wallet.settle(POUNDS, str(second), 5_000, now)
-        cushion = wallet.purses[POUNDS].cushion(29_000.0)
+        cushion = wallet.balances[POUNDS].cushion(29_000.0)
         # 5 tokens per millisecond for 10 s.
         self.assertAlmostEqual(cushion, 50_000, delta=0.15 * 50_000)
 
@@ -90,10 +90,10 @@
         for the same duration as at the start would be a third of what is left and
         would be lost, and requests after the restart would be refused.
         """
-        purse = Purse(total=4_000_000, keepers=2, left=400_000)
-        purse.rate, purse.rated_at, purse.rated_since = 5.0, 0.0, -60_000.0
+        balance = Balance(total=4_000_000, keepers=2, left=400_000)
+        balance.rate, balance.rated_at, balance.rated_since = 5.0, 0.0, -60_000.0
         # A tenth is left: two keepers share 0.45 * 0.1 of it.
-        self.assertEqual(purse.cushion(0.0), 9_000)
+        self.assertEqual(balance.cushion(0.0), 9_000)
 
     def test_keepers_hold_most_of_the_rest_while_use_is_provable(self):
         """Guards against refusals when all routers lose the store for 8 s.
@@ -102,9 +102,9 @@
         Tokens of keepers are not lost when a keeper is killed, because a successor
         can prove how few of them were spent.
         """
-        first = Purse(total=1_000_000, left=500_000, rank=0, provable=True)
-        second = Purse(total=1_000_000, left=500_000, rank=1, provable=True)
-        other = Purse(total=1_000_000, left=500_000, rank=None, provable=True)
+        first = Balance(total=1_000_000, left=500_000, rank=0, provable=True)
+        second = Balance(total=1_000_000, left=500_000, rank=1, provable=True)
+        other = Balance(total=1_000_000, left=500_000, rank=None, provable=True)
         cushions = [one.cushion(0.0) for one in (first, second, other)]
         self.assertEqual(cushions, [275_000, 150_000, 0])
 
@@ -115,21 +115,21 @@
         as spent.  Early in a total, large prompts need them while the store is
         unreachable; near its end they would be most of what is left.
         """
-        early = Purse(total=1_000_000, left=900_000, ceiling=500_000)
-        late = Purse(total=1_000_000, left=100_000, ceiling=55_000)
+        early = Balance(total=1_000_000, left=900_000, ceiling=500_000)
+        late = Balance(total=1_000_000, left=100_000, ceiling=55_000)
         self.assertEqual(early.make_use(0.0), Use(0, 54_000, 60_000))
         self.assertEqual(late.make_use(0.0), Use(0, 6_000, 55_000))
 
     def test_a_router_that_is_no_keeper_returns_idle_tokens(self):
         wallet = make_wallet(ceiling=0)
-        wallet.purses[POUNDS].rank = None
+        wallet.balances[POUNDS].rank = None
         wallet.receive(POUNDS, 80)
         self.assertTrue(wallet.reserve(POUNDS, "a", 60, 0.0))
         wallet.settle(POUNDS, "a", 50, 10.0)
         self.assertEqual(wallet.find_idle(900.0), {})
         self.assertEqual(wallet.find_idle(1_100.0), {POUNDS: 30})
         wallet.take_out(POUNDS, 30)
-        self.assertEqual(wallet.purses[POUNDS].ready, 0)
+        self.assertEqual(wallet.balances[POUNDS].ready, 0)
 
     def test_a_router_that_is_no_keeper_spends_received_tokens_at_once(self):
         """Guards against unused transferred tokens at a router that is no keeper.
@@ -141,17 +141,17 @@
         wallet = make_wallet(ceiling=1_000)
         wallet.pace(UseRecord("r1", "ip", 0.0, uses=wallet.make_uses(0.0)))
         self.assertTrue(wallet.keeps_any())
-        purse = wallet.purses[POUNDS]
-        purse.rank = None
+        balance = wallet.balances[POUNDS]
+        balance.rank = None
         self.assertTrue(wallet.keeps_any())
         wallet.settle_pace(UseRecord("r1", "ip", 1.0, uses=wallet.make_uses(1.0)))
         self.assertFalse(wallet.keeps_any())
         wallet.receive(POUNDS, 500)
-        self.assertEqual(purse.available(1.0), 1_500)
+        self.assertEqual(balance.available(1.0), 1_500)
 
     def test_a_router_that_is_no_keeper_draws_only_when_no_keeper_answers(self):
         wallet = make_wallet(ceiling=0)
-        wallet.purses[POUNDS].rank = None
+        wallet.balances[POUNDS].rank = None
         wallet.reserve(POUNDS, "a", 60, 0.0)
         self.assertFalse(wallet.is_waited_for(0.0))
         wallet.note_unkept(POUNDS, 0.0)
@@ -181,11 +181,11 @@
         uses = [Use(0, 300, 1_000), Use(100, 50, 900)]
         records = [UseRecord("r1", "ip", 0.0, uses={POUNDS: use}) for use in uses]
         wallet.pace(records[0])
-        self.assertEqual(wallet.purses[POUNDS].available(0.0), 300)
+        self.assertEqual(wallet.balances[POUNDS].available(0.0), 300)
         wallet.pace(records[1])
-        self.assertEqual(wallet.purses[POUNDS].available(0.0), 150)
+        self.assertEqual(wallet.balances[POUNDS].available(0.0), 150)
         wallet.settle_pace(records[0])
-        self.assertEqual(wallet.purses[POUNDS].available(0.0), 300)
+        self.assertEqual(wallet.balances[POUNDS].available(0.0), 300)
 
     def test_a_paced_router_lacks_nothing_and_draws_nothing(self):
         wallet = make_wallet(ceiling=1_000)
@@ -193,13 +193,13 @@
         self.assertFalse(wallet.reserve(POUNDS, "a", 400, 0.0))
         self.assertFalse(wallet.is_waited_for(0.0))
         # A third of the other 900 tokens unlocks after 8 s * sqrt(1/3).
-        wait = wallet.purses[POUNDS].find_wait(400, 0.0)
+        wait = wallet.balances[POUNDS].find_wait(400, 0.0)
         self.assertAlmostEqual(wait, 8_000.0 * (1 / 3) ** 0.5)
         self.assertTrue(wallet.reserve(POUNDS, "a", 400, wait + 5.0))
 
     def test_waiting_requests_are_recorded_as_spent(self):
         wallet = make_wallet(ceiling=1_000)
-        wallet.purses[POUNDS].waiting["a"] = 400
+        wallet.balances[POUNDS].waiting["a"] = 400
         use = wallet.make_uses(0.0)[POUNDS]
         self.assertEqual((use.recorded, use.cushion), (400, 600))
 
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -154,7 +154,7 @@
     def kill(self, node: str) -> None:
         for task in self.tasks.pop(node):
             task.cancel()
-        self.spent += self.allotters.pop(node).wallet.purses[POUNDS].settled
+        self.spent += self.allotters.pop(node).wallet.balances[POUNDS].settled
         del self.reservations[node]
         asyncio.get_running_loop().call_later(_DETECTION_S, self._note_routers)
 
@@ -169,7 +169,7 @@
         return True
 
     def count_spent(self) -> int:
-        live = [a.wallet.purses[POUNDS].settled for a in self.allotters.values()]
+        live = [a.wallet.balances[POUNDS].settled for a in self.allotters.values()]
         return self.spent + sum(live)
 
     def read(self):
