--- a/anvilshift/core/spreading.py
+++ b/anvilshift/core/addressing.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True)
-class Entrance:
+class Endpoint:
     """An address at which callers may connect."""
 
     address: str
@@ -29,8 +29,8 @@
 
 
 def order_entrances(
-    entrances: Iterable[Entrance], failure_domain: str, rng: random.Random
-) -> list[Entrance]:
+    entrances: Iterable[Endpoint], failure_domain: str, rng: random.Random
+) -> list[Endpoint]:
     """Return the entrances in the order in which a caller should try them.
 
     Parameters
@@ -40,14 +40,14 @@
 
     Examples
     --------
-    >>> near, far = Entrance("a", "north", 50), Entrance("b", "south")
-    >>> gone = Entrance("c", "north", leaving=True)
+    >>> near, far = Endpoint("a", "north", 50), Endpoint("b", "south")
+    >>> gone = Endpoint("c", "north", leaving=True)
     >>> order = order_entrances([far, gone, near], "north", random.Random(0))
     >>> [entrance.address for entrance in order]
     ['a', 'b']
     """
 
-    def key(entrance: Entrance) -> tuple[bool, float]:
+    def key(entrance: Endpoint) -> tuple[bool, float]:
         # Of several exponential variates, each is the smallest with a probability
         # proportional to the inverse of its mean.
         mean = _IDLE_LOAD + entrance.in_flight
--- a/anvilshift/core/admission.py
+++ b/anvilshift/core/admission.py
@@ -75,18 +75,20 @@
 engine with one slot."""
 
 
-def is_hopeless(deadline: Millis, now: Millis, wait: Millis, service: Millis) -> bool:
+def misses_deadline(
+    deadline: Millis, now: Millis, wait: Millis, service: Millis
+) -> bool:
     """Return whether an answer can't be complete before the deadline.
 
     Examples
     --------
-    >>> is_hopeless(deadline=100.0, now=0.0, wait=60.0, service=50.0)
+    >>> misses_deadline(deadline=100.0, now=0.0, wait=60.0, service=50.0)
     True
     """
     return now + wait + service > deadline
 
 
-def draw_retry(excess: Millis, rng: random.Random) -> Millis:
+def draw_retry_delay(excess: Millis, rng: random.Random) -> Millis:
     """Return the retry delay for a refused caller, with random jitter.
 
     Parameters
--- a/anvilshift/core/keepers.py
+++ b/anvilshift/core/allocators.py
@@ -20,7 +20,7 @@
 all totals to one object; with more writers, most writes would conflict."""
 
 
-def list_keepers(organisation: str, routers: Collection[str]) -> tuple[str, ...]:
+def list_allocators(organisation: str, routers: Collection[str]) -> tuple[str, ...]:
     """Return the routers that keep an organisation's tokens, in order of rank.
 
     With rendezvous hashing, when a router leaves or joins, the keepers change only for
@@ -28,10 +28,10 @@
 
     Examples
     --------
-    >>> list_keepers("pounds", ["r1"])
+    >>> list_allocators("pounds", ["r1"])
     ('r1',)
-    >>> before = list_keepers("pounds", ["r1", "r2", "r3"])
-    >>> after = list_keepers("pounds", {"r1", "r2", "r3"} - {before[0]})
+    >>> before = list_allocators("pounds", ["r1", "r2", "r3"])
+    >>> after = list_allocators("pounds", {"r1", "r2", "r3"} - {before[0]})
     >>> after[0] == before[1]
     True
     """
@@ -48,7 +48,7 @@
     return hashlib.blake2b(f"{key}/{router}".encode(), digest_size=8).digest()
 
 
-class KeeperMap:
+class AllocatorMap:
     """The keepers of each organisation's tokens among the live routers.
 
     Parameters
@@ -58,12 +58,12 @@
 
     Examples
     --------
-    >>> keepers = KeeperMap("r1")
-    >>> keepers.is_keeper("pounds")
+    >>> allocators = AllocatorMap("r1")
+    >>> allocators.is_keeper("pounds")
     True
-    >>> keepers.set_routers({"r1", "r2", "r3", "r4", "r5"})
+    >>> allocators.set_routers({"r1", "r2", "r3", "r4", "r5"})
     True
-    >>> len(keepers.list_keepers("pounds"))
+    >>> len(allocators.list_allocators("pounds"))
     2
     """
 
@@ -80,26 +80,26 @@
         self._cache.clear()
         return True
 
-    def list_keepers(self, organisation: str) -> tuple[str, ...]:
+    def list_allocators(self, organisation: str) -> tuple[str, ...]:
         """Return the keepers of an organisation's tokens, in order of rank."""
         if organisation not in self._cache:
-            self._cache[organisation] = list_keepers(organisation, self.routers)
+            self._cache[organisation] = list_allocators(organisation, self.routers)
         return self._cache[organisation]
 
     def is_keeper(self, organisation: str) -> bool:
         """Tell whether this router is a keeper of an organisation's tokens."""
-        return self.own in self.list_keepers(organisation)
+        return self.own in self.list_allocators(organisation)
 
     def find_rank(self, organisation: str) -> int | None:
         """Return this router's rank among the keepers, from 0; None if not a keeper."""
-        keepers = self.list_keepers(organisation)
-        return keepers.index(self.own) if self.own in keepers else None
+        allocators = self.list_allocators(organisation)
+        return allocators.index(self.own) if self.own in allocators else None
 
     def list_others(self, organisation: str) -> tuple[str, ...]:
         """Return the keepers other than this router, in order of rank."""
-        keepers = self.list_keepers(organisation)
-        return tuple(one for one in keepers if one != self.own)
+        allocators = self.list_allocators(organisation)
+        return tuple(one for one in allocators if one != self.own)
 
-    def count_recording(self) -> int:
+    def count_allocators(self) -> int:
         """Return how many routers keep tokens of any organisation."""
         return min(len(self.routers), _CANDIDATE_COUNT)
--- a/anvilshift/core/allotments.py
+++ b/anvilshift/core/allotments.py
@@ -16,7 +16,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
 
-from anvilshift.core.usage import Spent
+from anvilshift.core.usage import SpendingBounds
 
 
 @dataclass(frozen=True)
@@ -71,7 +71,7 @@
         recorded = sum(share.recorded for share in self.shares.values())
         return self.closed - self.doubt + recorded
 
-    def end(self, holder: str, spent: Spent | None = None) -> "Allotment":
+    def end(self, holder: str, spent: SpendingBounds | None = None) -> "Allotment":
         """Return the allotment without a holder that has ended.
 
         Parameters
@@ -90,7 +90,7 @@
         if share is None:
             return self
         shares = {name: one for name, one in self.shares.items() if name != holder}
-        known = spent or Spent(share.recorded, share.ceiling)
+        known = spent or SpendingBounds(share.recorded, share.ceiling)
         counted = min(known.most, share.ceiling)
         return replace(
             self,
@@ -101,7 +101,7 @@
 
 
 @dataclass(frozen=True)
-class Wish:
+class ShareRequest:
     """The ceiling that a holder requests for one organisation.
 
     Parameters
@@ -148,7 +148,7 @@
     Examples
     --------
     >>> totals = Totals(1, {"pounds": 100})
-    >>> wish = Wish(ceiling=80, least=10, spent=0)
+    >>> wish = ShareRequest(ceiling=80, least=10, spent=0)
     >>> grown = Allotments().grant("r1", {"pounds": wish}, totals)
     >>> grown.of("pounds").shares["r1"].ceiling, grown.of("pounds").free
     (55, 45)
@@ -165,7 +165,7 @@
         return self.of(organisation).shares.get(holder, Share()).ceiling
 
     def grant(
-        self, holder: str, wishes: Mapping[str, Wish], totals: Totals
+        self, holder: str, wishes: Mapping[str, ShareRequest], totals: Totals
     ) -> "Allotments":
         """Return the allotments after granting a holder's requests where possible.
 
@@ -180,7 +180,7 @@
         return Allotments({**self.organisations, **changed})
 
     def end(
-        self, holder: str, spent: Mapping[str, Spent] | None = None
+        self, holder: str, spent: Mapping[str, SpendingBounds] | None = None
     ) -> "Allotments":
         """Return the allotments without a holder that has ended.
 
@@ -210,7 +210,7 @@
     return replace(allotment, total=total, version=totals.version)
 
 
-def _apply_wish(allotment: Allotment, holder: str, wish: Wish) -> Allotment:
+def _apply_wish(allotment: Allotment, holder: str, wish: ShareRequest) -> Allotment:
     old = allotment.shares.get(holder, Share())
     free = max(0, allotment.free)
     if allotment.free < 0:
--- a/anvilshift/core/backlog.py
+++ b/anvilshift/core/backlog.py
@@ -1,11 +1,11 @@
 """The queue of waiting work: admission, expiry and dropping."""
 
-from anvilshift.core.admission import QueueLoad, is_hopeless
+from anvilshift.core.admission import QueueLoad, misses_deadline
 from anvilshift.core.clock import Millis
 from anvilshift.core.errors import NO_ENGINE, OVERLOADED, PAST_DEADLINE, Code
 from anvilshift.core.pools import Pool
 from anvilshift.core.queue import Entry
-from anvilshift.core.reach import Reach
+from anvilshift.core.restriction import TargetRestriction
 from anvilshift.core.state import NO_TARGET_RETRY, DispatchState
 from anvilshift.core.work import Actions, Refuse
 
@@ -20,7 +20,7 @@
         work that is in no queue while the other routers are asked about it.
     """
 
-    def __init__(self, state: DispatchState, reach: Reach) -> None:
+    def __init__(self, state: DispatchState, reach: TargetRestriction) -> None:
         self._reach = reach
         self.entries: dict[str, tuple[Entry, Pool]] = {}
         self._state = state
@@ -54,9 +54,9 @@
         if not pool.kind.durations.is_fresh(now):
             return None
         wait = 0.0 if len(pool.open) else self._predict_wait(entry, pool)
-        service = pool.kind.durations.safe_service(entry.work)
+        service = pool.kind.durations.service_upper_bound(entry.work)
         due = self._state.due(entry.work)
-        if not is_hopeless(due, now, wait, service):
+        if not misses_deadline(due, now, wait, service):
             return None
         excess = wait + service - (due - now)
         detail = f"expected to wait {wait:.0f} ms and run {service:.0f} ms"
@@ -82,8 +82,8 @@
         identity = entry.work.identity
         self.entries[identity] = entry, pool
         entry.allowed = self._reach.list_allowed(entry.work, pool, now)
-        pool.queue_of(entry).push(entry)
-        safe = pool.kind.durations.safe_service(entry.work)
+        pool.find_queues(entry).push(entry)
+        safe = pool.kind.durations.service_upper_bound(entry.work)
         latest = self._state.due(entry.work) - safe
         if not pool.kind.durations.is_fresh(now):
             latest = entry.work.deadline
@@ -113,7 +113,7 @@
     def give_up(self, entry: Entry, code: Code, detail: str = "") -> Refuse:
         """Remove waiting work from its queue and refuse it."""
         _, pool = self.entries.pop(entry.work.identity)
-        pool.queue_of(entry).remove(entry)
+        pool.find_queues(entry).remove(entry)
         wait = self._predict_wait(entry, pool)
         return self._state.refuse(entry, code, detail, wait)
 
@@ -122,7 +122,7 @@
         detail = "the targets that it may reach are out of use"
         return self._state.refuse(entry, NO_ENGINE, detail, NO_TARGET_RETRY)
 
-    def give_up_all(self, pool: Pool) -> Actions:
+    def refuse_all(self, pool: Pool) -> Actions:
         """Refuse all waiting work of a pool that has no usable target left."""
         entries = [*pool.short.drain(), *pool.long.drain()]
         for entry in entries:
--- a/anvilshift/core/wallet.py
+++ b/anvilshift/core/balances.py
@@ -13,10 +13,10 @@
 
 from collections.abc import Mapping
 
-from anvilshift.core.allotments import Allotment, Allotments, Wish
+from anvilshift.core.allocators import AllocatorMap
+from anvilshift.core.allotments import Allotment, Allotments, ShareRequest
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.cushions import Balance, Pace
-from anvilshift.core.keepers import KeeperMap
 from anvilshift.core.usage import Use, UseRecord
 
 FREE_KNOWN_FOR: Millis = 2 * SECOND
@@ -27,7 +27,7 @@
 which a lost keeper is still listed as present."""
 
 
-class Wallet:
+class Balances:
     """Reserves and settles the tokens of all organisations at one router.
 
     Parameters
@@ -37,7 +37,7 @@
 
     Examples
     --------
-    >>> wallet = Wallet("r1")
+    >>> wallet = Balances("r1")
     >>> wallet.configure({"pounds": 1_600}, now=0.0)
     >>> wallet.reserve("pounds", "a", 60, now=0.0)
     False
@@ -77,13 +77,13 @@
             return False
         balance.waiting.pop(key, None)
         balance.reserved[key] = tokens
-        balance.busy_at = now
+        balance.last_reserved_at = now
         return True
 
-    def is_dry(self, name: str, now: Millis) -> bool:
+    def is_depleted(self, name: str, now: Millis) -> bool:
         """Tell whether too few tokens were free as of the last write."""
         balance = self.balances.get(name)
-        return balance is not None and balance.is_dry(now)
+        return balance is not None and balance.is_depleted(now)
 
     def give_up(self, name: str, key: str) -> None:
         """Remove a request that was waiting for tokens."""
@@ -101,18 +101,18 @@
         """Tell whether this router's shares in the store should change."""
         return any(balance.needs_change(now) for balance in self.balances.values())
 
-    def is_waited_for(self, now: Millis) -> bool:
+    def has_drawable_waiters(self, now: Millis) -> bool:
         """Tell whether a request waits for tokens that can be drawn now."""
         return any(
-            balance.lacks() and balance.draws(now) and not balance.is_dry(now)
+            balance.lacks() and balance.draws(now) and not balance.is_depleted(now)
             for balance in self.balances.values()
         )
 
-    def note_unkept(self, name: str, now: Millis) -> None:
+    def record_missing_allocator(self, name: str, now: Millis) -> None:
         """Record that no keeper of an organisation's tokens answered."""
-        self.balances[name].unkept_until = now + _SELF_DRAW_SPAN
+        self.balances[name].self_draw_until = now + _SELF_DRAW_SPAN
 
-    def make_wishes(self, now: Millis) -> dict[str, Wish]:
+    def make_share_requests(self, now: Millis) -> dict[str, ShareRequest]:
         """Return the share changes to request, after applying reductions locally.
 
         A reduction applies before it is sent: if the response were lost after the
@@ -122,7 +122,7 @@
         wishes = {}
         for name, balance in self.balances.items():
             if balance.needs_change(now):
-                wishes[name] = balance.make_wish(now)
+                wishes[name] = balance.make_share_request(now)
                 balance.ceiling = min(balance.ceiling, wishes[name].ceiling)
         return wishes
 
@@ -152,16 +152,16 @@
         for balance in self.balances.values():
             balance.provable = provable
 
-    def set_keepers(self, keepers: KeeperMap) -> None:
+    def set_keepers(self, allocators: AllocatorMap) -> None:
         """Update which routers are the keepers of each organisation's tokens."""
         for name, balance in self.balances.items():
-            balance.rank = keepers.find_rank(name)
-            balance.keepers = len(keepers.list_keepers(name))
+            balance.rank = allocators.find_rank(name)
+            balance.allocators = len(allocators.list_allocators(name))
 
-    def keeps_any(self) -> bool:
+    def must_record_use(self) -> bool:
         """Tell whether this router must record its use of any organisation's tokens."""
         return any(
-            balance.limited and (balance.keeping or balance.is_paced())
+            balance.limited and (balance.keeping or balance.is_rate_limited())
             for balance in self.balances.values()
         )
 
@@ -179,7 +179,7 @@
             if name in self.balances:
                 self.balances[name].paces += (Pace(record.anchor, use),)
 
-    def settle_pace(self, record: UseRecord) -> None:
+    def confirm_record(self, record: UseRecord) -> None:
         """Limit spending only by a record that the store has confirmed.
 
         Earlier writes without a response can no longer take effect.
@@ -188,7 +188,7 @@
             use = record.uses.get(name)
             balance.paces = (Pace(record.anchor, use),) if use else ()
 
-    def hand_over(self, name: str, key: str, now: Millis) -> int:
+    def transfer_reservation(self, name: str, key: str, now: Millis) -> int:
         """Transfer the tokens of a reservation to another router; return their number.
 
         They count as spent here before they are sent, and this router's share in
@@ -197,11 +197,11 @@
 
         Examples
         --------
-        >>> wallet = Wallet("r1")
+        >>> wallet = Balances("r1")
         >>> wallet.balances["pounds"] = Balance(total=100, ceiling=100)
         >>> wallet.reserve("pounds", "r2/7", 80, now=0.0)
         True
-        >>> wallet.hand_over("pounds", "r2/7", now=0.0)
+        >>> wallet.transfer_reservation("pounds", "r2/7", now=0.0)
         80
         >>> wallet.balances["pounds"].available(0.0)
         20
@@ -210,15 +210,15 @@
         self.settle(name, key, given, now)
         return given
 
-    def find_idle(self, now: Millis) -> dict[str, int]:
+    def find_returnable(self, now: Millis) -> dict[str, int]:
         """Return the idle tokens by organisation.
 
         Only organisations for which this router is not a keeper are listed.
         """
-        idle = {name: p.find_idle(now) for name, p in self.balances.items()}
+        idle = {name: p.find_returnable(now) for name, p in self.balances.items()}
         return {name: tokens for name, tokens in idle.items() if tokens > 0}
 
-    def take_out(self, name: str, tokens: int) -> None:
+    def debit(self, name: str, tokens: int) -> None:
         """Count tokens as spent that are about to be transferred."""
         self.balances[name].settled += tokens
 
--- a/anvilshift/core/copies.py
+++ b/anvilshift/core/billcopies.py
@@ -16,7 +16,7 @@
 """Maximum copies for one holder: 200 s at 50 answers per second, about 3 MB."""
 
 
-class Copies:
+class BillCopies:
     """Copies of bills that one router keeps for other holders.
 
     Parameters
@@ -26,7 +26,7 @@
 
     Examples
     --------
-    >>> copies = Copies("r2-a")
+    >>> copies = BillCopies("r2-a")
     >>> bills = (("pounds", Bill("k", "kosice", 30, "r1-a")),)
     >>> copies.add("r1-a", bills, witness="r2-a")
     True
--- a/anvilshift/core/blame.py
+++ b/anvilshift/core/blame.py
@@ -19,7 +19,7 @@
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.exposure import Exposure
 
-CRASHES = 3
+MAX_CRASHES = 3
 """Crashed targets after which a content is refused.  A harmless request that its
 caller sends twice is present at two crashes at most."""
 _DETECTION_WINDOW: Millis = 4 * SECOND
@@ -40,7 +40,7 @@
 
 
 @dataclass
-class BlameBook:
+class CrashBlame:
     """The contents that were running on targets when these crashed.
 
     Attributes
@@ -50,7 +50,7 @@
 
     Examples
     --------
-    >>> blame_book = BlameBook()
+    >>> blame_book = CrashBlame()
     >>> for name in ("e1", "e2", "e3"):
     ...     _ = blame_book.broke("poison", name, now=0.0)
     ...     blame_book.lost(name, now=100.0)
@@ -61,7 +61,7 @@
     True
     """
 
-    exposure: Exposure = field(default_factory=lambda: Exposure(CRASHES))
+    exposure: Exposure = field(default_factory=lambda: Exposure(MAX_CRASHES))
     _broken_answers: dict[str, list[tuple[str, Millis]]] = field(default_factory=dict)
     _records: OrderedDict[str, _Record] = field(default_factory=OrderedDict)
 
@@ -127,4 +127,4 @@
         if now - record.at > _BLAME_LIFETIME:
             del self._records[content]
             return False
-        return len(record.targets) >= CRASHES
+        return len(record.targets) >= MAX_CRASHES
--- a/anvilshift/core/choosing.py
+++ b/anvilshift/core/choosing.py
@@ -97,7 +97,7 @@
     turn: Millis = 0.0
 
     @property
-    def whole_wait(self) -> Millis:
+    def total_wait(self) -> Millis:
         """Return the predicted time from now to the first byte of the answer."""
         return self.turn + self.wait
 
@@ -171,7 +171,7 @@
     excluded
         Engines that refused the request or failed while they ran it.
     """
-    usable = list_usable(loads.of_service(demand.service), excluded)
+    usable = list_usable(loads.list_service_targets(demand.service), excluded)
     if not usable:
         return None
     matches = [(target.count_cached(demand.prompt), target) for target in usable]
@@ -221,7 +221,7 @@
 
     It is the longer of what the target itself and its permit issuer have announced.
     """
-    return max(target.wait_for_turn(now), turns.get(target.info.name, 0.0))
+    return max(target.find_admission_delay(now), turns.get(target.info.name, 0.0))
 
 
 def _compute_cost(choice: Choice, demand: Demand, now: Millis) -> float:
@@ -232,7 +232,7 @@
     cost = transfer * (target.info.failure_domain != demand.domain)
     cost += choice.turn + _limit_cost(target, now)
     if choice.disturbing:
-        late = choice.whole_wait > demand.on_time
+        late = choice.total_wait > demand.on_time
         cost += _LATE_MS + _LATE_WAIT_WEIGHT * choice.wait if late else choice.wait
         cost += _STREAM_MS * running
     else:
@@ -256,7 +256,7 @@
     return _RATE_LIMITED_MS if limited else 0.0
 
 
-def choose_plain(
+def choose_plain_target(
     loads: LoadMap,
     service: str,
     domain: str,
@@ -278,7 +278,7 @@
         Time until each target's rate limit allows this request, for targets whose
         permit issuer has told this router.
     """
-    usable = list_usable(loads.of_service(service), excluded)
+    usable = list_usable(loads.list_service_targets(service), excluded)
     if not usable:
         return None
 
--- a/anvilshift/core/clock.py
+++ b/anvilshift/core/clock.py
@@ -11,7 +11,7 @@
 """An instant or a duration in milliseconds; all instants share an arbitrary origin."""
 
 SECOND: Millis = 1000.0
-STARTED: Millis = time.monotonic() * SECOND
+PROCESS_START: Millis = time.monotonic() * SECOND
 """Instant of this module's import, by the machine's monotonic clock: the earliest known
 instant at which this process was running."""
 
--- a/anvilshift/core/concurrency.py
+++ b/anvilshift/core/concurrency.py
@@ -23,7 +23,7 @@
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.work import LoadReport
 
-STALE: Millis = 2 * SECOND
+STALE_AFTER: Millis = 2 * SECOND
 """Age above which a report is out of date, eight report intervals: the load has
 changed since."""
 _UNREPORTED_FACTOR = 2.0
@@ -165,14 +165,14 @@
         bool
             Whether it fell back.
         """
-        if self._reported is None or now - self._reported <= STALE:
+        if self._reported is None or now - self._reported <= STALE_AFTER:
             return False
         self._reported = None
         self.others = self.waiting = 0
         self._set_unreported()
         return True
 
-    def draw_whole(self, rng: random.Random) -> int:
+    def round_randomly(self, rng: random.Random) -> int:
         """Return the share, rounded up with the probability of its fraction."""
         whole = int(self.share)
         return whole + (rng.random() < self.share - whole)
--- a/anvilshift/core/cushions.py
+++ b/anvilshift/core/cushions.py
@@ -1,6 +1,6 @@
 """One router's balance of one organisation's tokens, and how much it may spend.
 
-The load pattern is described in `wallet`.  This module defines the sizes: how many
+The load pattern is described in `balances`.  This module defines the sizes: how many
 tokens keepers hold, how many of those they may spend before their next use record,
 and when a router returns tokens.
 """
@@ -8,7 +8,7 @@
 import math
 from dataclasses import dataclass, field
 
-from anvilshift.core.allotments import Wish
+from anvilshift.core.allotments import ShareRequest
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.usage import Use
 
@@ -82,7 +82,7 @@
     ----------
     total
         Prepaid tokens of the organisation.
-    keepers
+    allocators
         Number of routers that keep the organisation's tokens.
     rank
         This router's position among these keepers, from 0; None if it is not one.
@@ -102,10 +102,10 @@
     paces
         The limit of every use record that may be in the store.  If spending exceeded
         one of them, a router that ends this router's share would count too little.
-    rate, rated_at
+    rate, rate_updated_at
         Exponential average of the use, in tokens a millisecond, and when it was
         last updated.
-    rated_since
+    rate_since
         When the average began; None before the first use.
     free, free_until
         Unallocated tokens as of the last write, and until when this router relies on
@@ -114,14 +114,14 @@
         Whether the organisation has a total at all.
     provable
         Whether a successor could prove how little this router spent.
-    busy_at
+    last_reserved_at
         When a request last reserved tokens.
-    unkept_until
+    self_draw_until
         Until when this router draws from the store although it is not a keeper.
     """
 
     total: int = 0
-    keepers: int = 1
+    allocators: int = 1
     rank: int | None = 0
     left: int | None = None
     ceiling: int = 0
@@ -130,14 +130,14 @@
     waiting: dict[str, int] = field(default_factory=dict)
     paces: tuple[Pace, ...] = ()
     rate: float = 0.0
-    rated_at: Millis = 0.0
-    rated_since: Millis | None = None
+    rate_updated_at: Millis = 0.0
+    rate_since: Millis | None = None
     free: int = 0
     free_until: Millis = -math.inf
     limited: bool = True
     provable: bool = False
-    busy_at: Millis = -math.inf
-    unkept_until: Millis = -math.inf
+    last_reserved_at: Millis = -math.inf
+    self_draw_until: Millis = -math.inf
 
     @property
     def spent(self) -> int:
@@ -190,30 +190,32 @@
         at_once = int(max(0, self.left or 0) * _AT_ONCE_FRACTIONS[self.rank])
         return Use(recorded, min(at_once, extra), extra)
 
-    def is_paced(self) -> bool:
+    def is_rate_limited(self) -> bool:
         """Tell whether a use record limits spending to less than the ceiling."""
         uses = [pace.use for pace in self.paces]
         return any(use.recorded + use.at_once < self.ceiling for use in uses)
 
     def count_use(self, tokens: int, now: Millis) -> None:
         """Update the measured rate of use, in tokens a millisecond."""
-        decay = math.exp(-(now - self.rated_at) / _RATE_TIME_CONSTANT)
+        decay = math.exp(-(now - self.rate_updated_at) / _RATE_TIME_CONSTANT)
         self.rate = self.rate * decay + tokens / _RATE_TIME_CONSTANT
-        self.rated_at = now
-        if self.rated_since is None:
-            self.rated_since = now
+        self.rate_updated_at = now
+        if self.rate_since is None:
+            self.rate_since = now
 
     def compute_rate(self, now: Millis) -> float:
         """Return the rate of use now, in tokens a millisecond."""
-        if self.rated_since is None:
+        if self.rate_since is None:
             return 0.0
         # An exponential average that began recently is too low; dividing by the sum
         # of the weights so far corrects this bias.
         weight = 1.0 - math.exp(
-            -max(SECOND, now - self.rated_since) / _RATE_TIME_CONSTANT
+            -max(SECOND, now - self.rate_since) / _RATE_TIME_CONSTANT
         )
         return (
-            self.rate * math.exp(-(now - self.rated_at) / _RATE_TIME_CONSTANT) / weight
+            self.rate
+            * math.exp(-(now - self.rate_updated_at) / _RATE_TIME_CONSTANT)
+            / weight
         )
 
     def cushion(self, now: Millis) -> int:
@@ -225,19 +227,19 @@
         left = max(0, self.left)
         if self.provable:
             return int(left * _KEPT_FRACTIONS[self.rank or 0])
-        least = int(self.total * _UNPROVED_MIN / self.keepers)
+        least = int(self.total * _UNPROVED_MIN / self.allocators)
         wanted = max(int(self.compute_rate(now) * _UNPROVED_COVERAGE), least)
         fraction = min(_UNPROVED_MAX, _UNPROVED_SLOPE * left / max(1, self.total))
-        return min(wanted, int(left * fraction / self.keepers))
+        return min(wanted, int(left * fraction / self.allocators))
 
-    def make_wish(self, now: Millis) -> Wish:
+    def make_share_request(self, now: Millis) -> ShareRequest:
         """Return the ceiling to request from the store now."""
         needed = self.spent + sum(self.waiting.values())
         cushion = self.cushion(now)
         ceiling = needed + cushion
         if needed <= self.ceiling <= needed + int(cushion * _RETURN_ABOVE):
             ceiling = max(ceiling, self.ceiling)
-        return Wish(ceiling, needed, self.spent)
+        return ShareRequest(ceiling, needed, self.spent)
 
     def needs_change(self, now: Millis) -> bool:
         """Tell whether this router should request another ceiling."""
@@ -250,11 +252,11 @@
         cushion = self.cushion(now)
         if self.ready > max(1, int(cushion * _RETURN_ABOVE)):
             return True
-        if self.is_dry(now):
+        if self.is_depleted(now):
             return False
         return self.lacks() or self.ready < cushion * _REFILL_BELOW
 
-    def is_dry(self, now: Millis) -> bool:
+    def is_depleted(self, now: Millis) -> bool:
         """Tell whether too few tokens are free for even the smallest waiting request.
 
         The answer to one write reports the free tokens of all organisations.  If each
@@ -266,12 +268,14 @@
 
     def draws(self, now: Millis) -> bool:
         """Tell whether this router draws from the store, as a keeper or without one."""
-        return self.keeping or now < self.unkept_until
+        return self.keeping or now < self.self_draw_until
 
-    def find_idle(self, now: Millis) -> int:
+    def find_returnable(self, now: Millis) -> int:
         """Return the unused tokens that a router other than a keeper should return."""
         idle = (
-            not self.reserved and not self.waiting and now - self.busy_at > _IDLE_TIME
+            not self.reserved
+            and not self.waiting
+            and now - self.last_reserved_at > _IDLE_TIME
         )
         if self.keeping or not self.limited or not idle:
             return 0
--- a/anvilshift/core/departures.py
+++ b/anvilshift/core/departures.py
@@ -62,7 +62,9 @@
         new = old | {target} if leaving else old - {target}
         return self if new == old else self.take(source, new)
 
-    def keep_targets(self, sources: Iterable[str], targets: Set[str]) -> "Departures":
+    def restrict_targets(
+        self, sources: Iterable[str], targets: Set[str]
+    ) -> "Departures":
         """Return the departures with the lists of some sources limited to targets."""
         kept = {s: self.signs[s] & targets for s in sources if s in self.signs}
         return replace(self, signs={**self.signs, **kept})
--- a/anvilshift/core/dispatcher.py
+++ b/anvilshift/core/dispatcher.py
@@ -12,22 +12,22 @@
 
 from anvilshift.core.backlog import Backlog
 from anvilshift.core.clock import Millis
-from anvilshift.core.concurrency import STALE, Limit
+from anvilshift.core.concurrency import STALE_AFTER, Limit
+from anvilshift.core.healthmonitor import HealthMonitor
 from anvilshift.core.pools import Kind, Pools, TargetView
 from anvilshift.core.queue import Entry
-from anvilshift.core.rationing import Rationing, Want
-from anvilshift.core.reach import Reach
 from anvilshift.core.relocation import Relocation
-from anvilshift.core.resending import NEWS_SPAN, Resending
+from anvilshift.core.restriction import TargetRestriction
+from anvilshift.core.retrier import CRASH_REPORT_DELAY, Retrier
 from anvilshift.core.sending import Sender
 from anvilshift.core.state import DispatchState
-from anvilshift.core.upkeep import Upkeep
+from anvilshift.core.targetlimits import PermitNeed, TargetLimits
 from anvilshift.core.work import (
-    NEVER_RAN,
+    NOT_EXECUTED,
     Actions,
-    Announce,
     Ask,
     CacheEvent,
+    CrashAnnouncement,
     DispatchSettings,
     Failure,
     LoadReport,
@@ -35,7 +35,7 @@
     Work,
 )
 
-__all__ = ("NEWS_SPAN", "Dispatcher")
+__all__ = ("CRASH_REPORT_DELAY", "Dispatcher")
 
 _SWEEP_INTERVAL: Millis = 250.0
 """Interval between attempts to send work that was skipped; targets report their
@@ -70,21 +70,21 @@
 
     def __init__(self, settings: DispatchSettings, rng: random.Random) -> None:
         self._state = DispatchState(settings, rng)
-        self._reach = Reach(self._state)
+        self._reach = TargetRestriction(self._state)
         self._backlog = Backlog(self._state, self._reach)
         self._sender = Sender(self._state, self._backlog, self._reach)
         self._relocation = Relocation(
             self._state, self._backlog, self._reach, self._enqueue
         )
-        self._resending = Resending(
+        self._resending = Retrier(
             self._state, self._backlog, self._sender, self._reach, self._relocation
         )
-        self._upkeep = Upkeep(
+        self._upkeep = HealthMonitor(
             self._state, self._backlog, self._sender, self._reach, self._relocation
         )
-        self._rationing = Rationing(self._state, self._sender)
+        self._rationing = TargetLimits(self._state, self._sender)
         self._last_sweep: Millis = 0.0
-        self._was_alone = self._state.is_alone
+        self._was_alone = self._state.is_single_router
         self.renew: Callable[[Work], Work] = lambda work: work
 
     @property
@@ -107,7 +107,7 @@
         declared = {target.name: target for target in targets}
         self._state.began = min(self._state.began, now)
         old_targets = {name: view.target for name, view in self._state.views.items()}
-        self._state.former.supersede(old_targets, declared, revision, now)
+        self._state.former.record_change(old_targets, declared, revision, now)
         for name in set(self._state.views) - set(declared):
             # When an attempt that still runs there ends, the removed target must
             # not be given more work.
@@ -133,7 +133,7 @@
         """Rebuild the pools and enqueue all waiting work again."""
         waiting = [entry for entry, _ in self._backlog.entries.values()]
         self._backlog.entries.clear()
-        self._was_alone = self._state.is_alone
+        self._was_alone = self._state.is_single_router
         self._state.pools = Pools(self._state.views)
         for view in self._state.views.values():
             view.pools = []
@@ -171,15 +171,15 @@
         """Set whether another router is unreachable."""
         self._state.partitioned = partitioned
 
-    def set_others(self, known: bool) -> None:
+    def set_has_others(self, known: bool) -> None:
         """Set whether any other router is known.
 
         A router that is alone may send a content to any target.  When another
         router starts, it must learn where contents were sent before it serves, so
         this one keeps a record of what is running.
         """
-        if known and self._state.is_alone:
-            self._state.quarantine.keep_running()
+        if known and self._state.is_single_router:
+            self._state.quarantine.retain_running_charges()
         self._state.has_others = known
 
     def leaving(self, target: str, now: Millis) -> Actions:
@@ -190,11 +190,11 @@
         view.note_outage(now)
         view.leaving = True
         self._state.refresh(view)
-        actions = self._relocation.move_stuck(view, now)
+        actions = self._relocation.relocate_waiting(view, now)
         for pool in view.pools:
             pool.usable -= 1
             if not pool.usable:
-                actions += self._backlog.give_up_all(pool)
+                actions += self._backlog.refuse_all(pool)
         return actions
 
     def staying(self, target: str, now: Millis) -> Actions:
@@ -208,7 +208,7 @@
         self._state.refresh(view)
         return self._sender.fill(view, now)
 
-    def learn_limit(self, report: LoadReport) -> None:
+    def update_rate_limit(self, report: LoadReport) -> None:
         """Record only the rate limit in a target's load report; send nothing."""
         view = self._state.views.get(report.target)
         if view is not None:
@@ -220,19 +220,21 @@
         if view is None:
             return []
         if not view.limit.reported:
-            self._state.timers.at(now + STALE, lambda at: self._check_reports(view, at))
+            self._state.timers.at(
+                now + STALE_AFTER, lambda at: self._check_reports(view, at)
+            )
         view.limit.report(report, now)
         self._rationing.learn(view, report.limit, report.as_of)
         self._state.refresh(view, draw=True)
-        return [*self._rationing.end_over(now), *self._sender.fill(view, now)]
+        return [*self._rationing.remove_expired(now), *self._sender.fill(view, now)]
 
     def find_view(self, target: str) -> TargetView | None:
         """Return this router's view of a target, or None if it is not declared."""
         return self._state.views.get(target)
 
-    def list_wants(self) -> list[Want]:
+    def list_permit_needs(self) -> list[PermitNeed]:
         """Return the targets whose waiting work lacks only a permit."""
-        return self._rationing.list_wants()
+        return self._rationing.list_permit_needs()
 
     def permit(self, target: str, run: str, now: Millis) -> Actions:
         """Use a permit to send one request to a rate-limited target."""
@@ -241,7 +243,9 @@
     def _check_reports(self, view: TargetView, now: Millis) -> Actions:
         """Stop using a target's reported load once its reports have stopped."""
         if not view.limit.expire(now):
-            self._state.timers.at(now + STALE, lambda at: self._check_reports(view, at))
+            self._state.timers.at(
+                now + STALE_AFTER, lambda at: self._check_reports(view, at)
+            )
             return []
         self._state.refresh(view, draw=True)
         return self._sender.fill(view, now)
@@ -272,9 +276,9 @@
         """
         self._state.quarantine.hear(content, target, now, age, times)
 
-    def note_lost_router(self, now: Millis) -> None:
+    def record_lost_router(self, now: Millis) -> None:
         """Record that a router became unreachable without announcing a shutdown."""
-        self._state.router_lost = now
+        self._state.last_router_loss = now
 
     def prepare(self, ask: Ask, now: Millis) -> bool:
         """Hold back a content that another router asks to relocate.
@@ -290,11 +294,11 @@
         """Finish a relocation, once it is known whether all routers agreed."""
         return self._relocation.settle(ask, agreed, now)
 
-    def list_confined(self, content: str) -> list[str]:
+    def list_only_targets(self, content: str) -> list[str]:
         """Return the only targets that may run a content; empty if any target may."""
-        return self._state.quarantine.list_confined(content)
+        return self._state.quarantine.list_only_targets(content)
 
-    def list_crashes(self, now: Millis) -> list[Announce]:
+    def list_crashes(self, now: Millis) -> list[CrashAnnouncement]:
         """Return the crashes that a router that has just started must learn of."""
         return self._state.quarantine.list_crashes(now)
 
@@ -306,7 +310,7 @@
             return [self._state.refuse_quarantined(work)]
         entry = Entry(work, 0.0, 0.0)
         pool = self._state.pools.find(work.candidates)
-        if pool is not None and self._reach.is_stuck(work, pool, now):
+        if pool is not None and self._reach.has_no_usable_target(work, pool, now):
             return self._relocation.begin(entry, pool, now)
         return self._enqueue(entry, now)
 
@@ -316,7 +320,7 @@
         Work that was already attempted is sent again under the retry policy.
         """
         if entry.attempts:
-            return self._resending.send_again(entry, now)
+            return self._resending.requeue(entry, now)
         actions = self._backlog.admit(entry, now)
         if not entry.waits:
             return actions
@@ -332,7 +336,7 @@
         work, span = attempt.entry.work, now - attempt.sent
         durations = attempt.pool.kind.durations
         self._upkeep.compare(attempt, span)
-        durations.add_first(work, span, now, attempt.warm)
+        durations.add_first_token(work, span, now, attempt.warm)
         return self._upkeep.check_health(attempt.view, now)
 
     def done(self, identity: str, tokens: int, now: Millis) -> Actions:
@@ -345,9 +349,9 @@
         if attempt.first is None:
             span = now - attempt.sent
             self._upkeep.compare(attempt, span)
-            durations.add_first(work, span, now)
+            durations.add_first_token(work, span, now)
         else:
-            durations.add_whole(work, tokens, now - attempt.first, now)
+            durations.add_answer_time(work, tokens, now - attempt.first, now)
         if attempt.counts:
             view.health.add_answer()
         self._state.retries.earn()
@@ -380,7 +384,7 @@
             # The target accepts no connections: it is restarting and will come
             # back with an empty cache.
             self._state.prefixes.forget(name)
-        self._sender.stop(identity, now, ran=failure not in NEVER_RAN)
+        self._sender.stop(identity, now, ran=failure not in NOT_EXECUTED)
         if attempt.counts:
             view.health.add_failure(content or identity)
         self._state.refresh(view)
@@ -393,7 +397,7 @@
         found = self._backlog.entries.pop(identity, None)
         if found is not None:
             entry, pool = found
-            pool.queue_of(entry).remove(entry)
+            pool.find_queues(entry).remove(entry)
         attempt = self._sender.stop(identity, now)
         if attempt is None:
             return []
@@ -404,8 +408,8 @@
 
     def tick(self, now: Millis) -> Actions:
         """Run the timers that are due and, at intervals, retry skipped work."""
-        actions = [*self._state.timers.run(now), *self._rationing.end_over(now)]
-        if self._state.is_alone != self._was_alone:
+        actions = [*self._state.timers.run(now), *self._rationing.remove_expired(now)]
+        if self._state.is_single_router != self._was_alone:
             # A router that is alone may send a content to any target; one of
             # several only to the two home targets of the content.
             actions += self._rebuild_pools(now)
--- a/anvilshift/core/durations.py
+++ b/anvilshift/core/durations.py
@@ -89,8 +89,8 @@
     --------
     >>> durations = Durations()
     >>> work = Work("r1", "pounds", "advice", {}, 10, 20, deadline=1_000.0)
-    >>> durations.add_first(work, 100.0, now=0.0)
-    >>> durations.add_whole(work, tokens=10, span=200.0, now=1.0)
+    >>> durations.add_first_token(work, 100.0, now=0.0)
+    >>> durations.add_answer_time(work, tokens=10, span=200.0, now=1.0)
     >>> round(durations.service(work))
     322
     """
@@ -121,7 +121,7 @@
         """Return the expected run time of work."""
         return self.first(work.request_class) + self.pace.value * self.tokens(work)
 
-    def safe_service(self, work: Work) -> Millis:
+    def service_upper_bound(self, work: Work) -> Millis:
         """Return an upper bound of the run time that few answers exceed."""
         factor = min(_MAX_SAFETY_FACTOR, max(_MIN_SAFETY_FACTOR, self._error.high()))
         return self.service(work) * factor
@@ -138,7 +138,7 @@
             return first * _DEFAULT_SAVED_FRACTION
         return max(0.0, first - warm.value)
 
-    def add_first(
+    def add_first_token(
         self, work: Work, span: Millis, now: Millis, warm: bool = False
     ) -> None:
         """Add a measured time to first token.
@@ -152,7 +152,9 @@
         means.setdefault(work.request_class, Mean(span or 1.0)).add(span)
         self._last_measured = now
 
-    def add_whole(self, work: Work, tokens: int, span: Millis, now: Millis) -> None:
+    def add_answer_time(
+        self, work: Work, tokens: int, span: Millis, now: Millis
+    ) -> None:
         """Add the measured time of an answer after its first token.
 
         Parameters
--- a/anvilshift/core/ejection.py
+++ b/anvilshift/core/ejection.py
@@ -75,7 +75,7 @@
     >>> health = Health()
     >>> for content in "abc":
     ...     health.add_failure(content)
-    >>> health.is_bad(baseline=0.0)
+    >>> health.should_eject(baseline=0.0)
     True
     >>> health.eject(now=0.0, rng=random.Random(0))
     >>> health.state.value, health.until >= 2_000.0
@@ -91,7 +91,7 @@
     _failed_contents: set[str] = field(default_factory=set)
     _ejections: int = 0
 
-    def add_span(self, latency: Millis, expected: Millis) -> None:
+    def add_latency(self, latency: Millis, expected: Millis) -> None:
         """Add a latency sample to the mean, relative to the expected latency."""
         self._samples += 1
         gain = max(_MIN_GAIN, 1.0 / self._samples)
@@ -110,7 +110,7 @@
         """Record a failed attempt; repeated failures of one content count once."""
         self._failed_contents.add(content)
 
-    def is_bad(self, baseline: float) -> bool:
+    def should_eject(self, baseline: float) -> bool:
         """Tell whether the target should be ejected.
 
         Parameters
@@ -124,7 +124,7 @@
         is_slow = is_slow and self._samples >= _MIN_SAMPLES
         return is_slow or len(self._failed_contents) >= _FAILURE_THRESHOLD
 
-    def slowness(self, baseline: float) -> float:
+    def get_slowdown(self, baseline: float) -> float:
         """Return the ratio of the target's latency to the others', at least 1."""
         if self._samples < _MIN_SAMPLES:
             return 1.0
--- a/anvilshift/core/entrances.py
+++ b/anvilshift/core/endpoints.py
@@ -17,14 +17,14 @@
 
 
 @dataclass(frozen=True)
-class Entrance:
+class Endpoint:
     """A router that accepts connections from callers."""
 
     address: str
     failure_domain: str
 
 
-def choose_entrances(routers: Sequence[Entrance], domain: str) -> tuple[str, ...]:
+def choose_endpoints(routers: Sequence[Endpoint], domain: str) -> tuple[str, ...]:
     """Return the router addresses for callers in a failure domain.
 
     Parameters
@@ -36,11 +36,11 @@
 
     Examples
     --------
-    >>> near = [Entrance(f"10.0.0.{n}:80", "north") for n in range(4)]
-    >>> far = [Entrance("10.1.0.1:80", "south")]
-    >>> len(choose_entrances(near + far, "north"))
+    >>> near = [Endpoint(f"10.0.0.{n}:80", "north") for n in range(4)]
+    >>> far = [Endpoint("10.1.0.1:80", "south")]
+    >>> len(choose_endpoints(near + far, "north"))
     4
-    >>> len(choose_entrances(near + far, "south"))
+    >>> len(choose_endpoints(near + far, "south"))
     5
     """
     local = [router.address for router in routers if router.failure_domain == domain]
--- a/anvilshift/core/errors.py
+++ b/anvilshift/core/errors.py
@@ -1,8 +1,8 @@
 """Numbered result codes and the errors that carry them.
 
-Each code states whether the request's work ran (`Fate`), so that a caller can tell
-whether a retry is safe.  docs/ERRORS.md contains the table of codes; a test compares
-it with this module.
+Each code states whether the request's work ran (`ExecutionState`), so that a caller
+can tell whether a retry is safe.  docs/ERRORS.md contains the table of codes; a test
+compares it with this module.
 """
 
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 from anvilshift.core.clock import Millis
 
 
-class Fate(Enum):
+class ExecutionState(Enum):
     """Whether the request's work ran at a target."""
 
     NOT_RUN = "not run"
@@ -43,7 +43,7 @@
     number: int
     name: str
     status: int
-    fate: Fate
+    fate: ExecutionState
     meaning: str
     retry_after: Millis | None = None
 
@@ -62,7 +62,7 @@
     number: int,
     name: str,
     status: int,
-    fate: Fate,
+    fate: ExecutionState,
     meaning: str,
     retry_after: Millis | None = None,
 ) -> Code:
@@ -73,7 +73,11 @@
     return code
 
 
-_NOT_RUN, _RAN, _UNKNOWN = Fate.NOT_RUN, Fate.RAN, Fate.UNKNOWN
+_NOT_RUN, _RAN, _UNKNOWN = (
+    ExecutionState.NOT_RUN,
+    ExecutionState.RAN,
+    ExecutionState.UNKNOWN,
+)
 
 MALFORMED = _define(1001, "malformed", 400, _NOT_RUN, "The request can't be read.")
 TOO_LARGE = _define(1002, "too large", 413, _NOT_RUN, "Head or body is over the limit.")
@@ -239,7 +243,7 @@
 CONFLICT = _define(
     5002, "conflict", 409, _NOT_RUN, "The object changed since it was read."
 )
-PLATFORM_GARBAGE = _define(
+PLATFORM_UNREADABLE = _define(
     5003,
     "platform garbage",
     503,
--- a/anvilshift/core/exposure.py
+++ b/anvilshift/core/exposure.py
@@ -19,7 +19,7 @@
 
 TARGETS = 2
 """Maximum targets that one content may make fail; the users require this limit."""
-FORGET_AFTER: Millis = 600 * SECOND
+CHARGE_LIFETIME: Millis = 600 * SECOND
 """Charges expire after this time, which is longer than the interval between callers'
 retries of one request."""
 _MAX_RECORDS = 10_000
@@ -94,7 +94,7 @@
         if not charges.running and not charges.kept:
             del self._charges[content]
 
-    def keep_running(self) -> None:
+    def retain_running_charges(self) -> None:
         """Keep the targets of all attempts in progress charged after they end."""
         for charges in self._charges.values():
             charges.kept |= set(charges.running)
@@ -117,12 +117,12 @@
                 self._harmless.popitem(last=False)
 
     def expire(self, content: str, now: Millis) -> None:
-        """Drop the charges of a content not charged within `FORGET_AFTER`."""
+        """Drop the charges of a content not charged within `CHARGE_LIFETIME`."""
         charges = self._charges.get(content)
-        if charges is not None and now - charges.at > FORGET_AFTER:
+        if charges is not None and now - charges.at > CHARGE_LIFETIME:
             self._drop_kept(content, charges)
 
-    def list_reached(self, content: str) -> list[str]:
+    def list_charged_targets(self, content: str) -> list[str]:
         """Return the targets charged to a content; none if it is harmless."""
         charges = self._charges.get(content)
         if charges is None or content in self._harmless:
@@ -133,7 +133,7 @@
         """Tell whether a content was answered and has crashed no target since."""
         return content in self._harmless
 
-    def list_kept(self, most: int) -> list[tuple[str, str]]:
+    def list_charges(self, most: int) -> list[tuple[str, str]]:
         """Return pairs of content and charged target, for the newest contents.
 
         Parameters
@@ -147,14 +147,14 @@
             for target in sorted(charges.kept)
         ]
 
-    def list_confined(self, content: str) -> list[str]:
+    def list_only_targets(self, content: str) -> list[str]:
         """Return the only targets that a content may reach; empty if not limited."""
-        reached = self.list_reached(content)
+        reached = self.list_charged_targets(content)
         return reached if len(reached) >= self._max_targets else []
 
     def may_reach(self, content: str, target: str) -> bool:
         """Tell whether a content may be sent to a target."""
-        confined = self.list_confined(content)
+        confined = self.list_only_targets(content)
         return not confined or target in confined
 
     def _drop_kept(self, content: str, charges: _Charges) -> None:
--- a/anvilshift/core/former.py
+++ b/anvilshift/core/former.py
@@ -17,7 +17,7 @@
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.work import Target
 
-MOST_BEHIND: Millis = 60 * SECOND
+MAX_CHANGE_LAG: Millis = 60 * SECOND
 """Longest time that a change waits for its acknowledgement by all routers.  A router
 that is cut off has stopped serving by then, because its lease has expired.  A router
 that can't parse some declaration never acknowledges it; without this limit, waiting for
@@ -50,7 +50,7 @@
     --------
     >>> former = FormerTargets()
     >>> e1, e2 = Target("e1", "north"), Target("e2", "north")
-    >>> former.supersede({"e1": e1}, {"e1": e1, "e2": e2}, revision=7, now=0.0)
+    >>> former.record_change({"e1": e1}, {"e1": e1, "e2": e2}, revision=7, now=0.0)
     >>> former.list_domains({"e1": e1, "e2": e2})
     [{'e1': 'north'}]
     >>> former.agree(7, now=1.0)
@@ -62,7 +62,7 @@
     def __init__(self) -> None:
         self._pending_changes: list[_FormerSet] = []
 
-    def supersede(
+    def record_change(
         self, old: TargetsByName, new: TargetsByName, revision: int, now: Millis
     ) -> None:
         """Record a change of the declared targets or of their failure domains.
@@ -81,12 +81,12 @@
         Returns
         -------
         bool
-            Whether a change was completed, by that revision or by `MOST_BEHIND`.
+            Whether a change was completed, by that revision or by `MAX_CHANGE_LAG`.
         """
         pending = [
             change
             for change in self._pending_changes
-            if change.superseded_by > revision and now - change.at <= MOST_BEHIND
+            if change.superseded_by > revision and now - change.at <= MAX_CHANGE_LAG
         ]
         completed = len(pending) < len(self._pending_changes)
         self._pending_changes = pending
--- a/anvilshift/core/upkeep.py
+++ b/anvilshift/core/healthmonitor.py
@@ -4,8 +4,8 @@
 from anvilshift.core.clock import Millis
 from anvilshift.core.ejection import State, may_eject
 from anvilshift.core.pools import TargetView
-from anvilshift.core.reach import Reach
 from anvilshift.core.relocation import Relocation
+from anvilshift.core.restriction import TargetRestriction
 from anvilshift.core.sending import Sender
 from anvilshift.core.state import Attempt, DispatchState
 from anvilshift.core.work import Actions, Cancel, Failure
@@ -17,7 +17,7 @@
 never sends one."""
 
 
-class Upkeep:
+class HealthMonitor:
     """Eject slow and failing targets, probe them, and move work off hung ones."""
 
     def __init__(
@@ -25,7 +25,7 @@
         state: DispatchState,
         backlog: Backlog,
         sender: Sender,
-        reach: Reach,
+        reach: TargetRestriction,
         relocation: Relocation,
     ) -> None:
         self._state = state
@@ -51,7 +51,7 @@
         durations = attempt.pool.kind.durations
         request_class = attempt.entry.work.request_class
         if attempt.counts and durations.knows(request_class):
-            attempt.view.add_span(span, durations.first(request_class))
+            attempt.view.add_latency(span, durations.first(request_class))
 
     def _check_overdue(self, attempt: Attempt, now: Millis) -> Actions:
         """Count an overdue first token against its target, and move the work."""
@@ -82,7 +82,9 @@
         names = pool.open.draw(self._state.rng, 2) if allowed is None else allowed
         has_other = any(name in pool.open and name not in entry.tried for name in names)
         may_retry = entry.attempts < self._state.settings.attempts
-        if not (has_other and may_retry) or self._state.has_no_hope(entry, pool, now):
+        if not (has_other and may_retry) or self._state.would_miss_deadline(
+            entry, pool, now
+        ):
             return []
         if not self._state.retries.take(Failure.TIMED_OUT):
             return []
@@ -99,17 +101,17 @@
         A target that fails while it is being probed is ejected in any case.
         """
         health = view.health
-        if health.state is State.EJECTED or not view.is_bad():
+        if health.state is State.EJECTED or not view.should_eject():
             return []
         kind = view.kind
         returning = health.state is State.PROBING
-        if not returning and not may_eject(kind.count_out(), len(kind.views)):
+        if not returning and not may_eject(kind.count_unhealthy(), len(kind.views)):
             return []
         view.note_outage(now)
         health.eject(now, self._state.rng)
         self._state.refresh(view)
         self._state.timers.at(health.until, lambda at: self._start_probe(view, at))
-        return self._relocation.move_stuck(view, now)
+        return self._relocation.relocate_waiting(view, now)
 
     def _start_probe(self, view: TargetView, now: Millis) -> Actions:
         """Start probing an ejected target with a single request."""
--- a/anvilshift/core/escrow.py
+++ b/anvilshift/core/holderaccounts.py
@@ -11,20 +11,20 @@
 from anvilshift.core.account import Bill, BillState, Draw
 from anvilshift.core.clock import Millis
 from anvilshift.core.errors import InvariantError
+from anvilshift.core.grantstate import GrantState
 from anvilshift.core.ledger import BillKey, Commit, Outcome
-from anvilshift.core.purse import GrantState
 
 Bills = tuple[tuple[str, Bill], ...]
 """Pairs of account name and bill."""
 
 
-class Escrow:
+class HolderAccounts:
     """The grants of one holder in one ledger.
 
     Examples
     --------
     >>> from anvilshift.core.ledger import Grant
-    >>> escrow = Escrow("r1")
+    >>> escrow = HolderAccounts("r1")
     >>> escrow.open("pounds", allowance=100, level=300)
     >>> commit = escrow.begin_commit()
     >>> commit.draws["pounds"].want
@@ -171,7 +171,7 @@
             for key in sorted(state.released)
         )
 
-    def drop_judged(self, states: Mapping[BillKey, BillState]) -> None:
+    def drop_decided_bills(self, states: Mapping[BillKey, BillState]) -> None:
         """Drop the bills whose state the ledger knew when the holder was sealed."""
         for (name, key), state in states.items():
             self._drop_bill(name, key, state)
@@ -193,14 +193,14 @@
                     grant_state.pending
                 )
 
-    def succeed(self, holder: str) -> "Escrow":
+    def succeed(self, holder: str) -> "HolderAccounts":
         """Return the escrow of the holder that replaces this sealed one.
 
         Requests in flight continue: their reservations and their unreleased bills
         are carried over.  Another router may hold the tokens for them by now, so
         the ledger draws the tokens they need again, or refuses the bill.
         """
-        successor = Escrow(holder)
+        successor = HolderAccounts(holder)
         successor.witness = self.witness
         for name, state in self.grant_states.items():
             successor.open(name, state.allowance, state.level)
--- a/anvilshift/core/lease.py
+++ b/anvilshift/core/lease.py
@@ -8,7 +8,7 @@
 """
 
 from anvilshift.core.clock import Millis
-from anvilshift.core.membership import Roster
+from anvilshift.core.membership import MemberTable
 
 _SLOW_DIVISOR = 8
 """A renewal that takes longer than the lease divided by this number is reported to the
@@ -76,7 +76,7 @@
             return 0.0
         return now - self._renewing_since
 
-    def may_serve(self, roster: Roster, seen: int, now: Millis) -> bool:
+    def may_serve(self, roster: MemberTable, seen: int, now: Millis) -> bool:
         """Tell whether the router may take new work.
 
         It must be called at every heartbeat.  A router that stopped stays stopped
@@ -96,7 +96,7 @@
         # After a pause of the process, heartbeats queued in its sockets arrive as
         # if they were new, but don't show the current state of their senders.
         paused = last_checked is None or now - last_checked > self.span / _PAUSE_DIVISOR
-        if self._renewed_at is None or paused or not roster.is_platform_out(seen, now):
+        if self._renewed_at is None or paused or not roster.is_platform_down(seen, now):
             self._stopped = True
         return not self._stopped
 
--- a/anvilshift/core/ledger.py
+++ b/anvilshift/core/ledger.py
@@ -284,7 +284,7 @@
         holders = {**self.holders, holder: sealed}
         return replace(self._with_accounts(accounts), holders=holders)
 
-    def hand_in(
+    def submit_late_bills(
         self, holder: str, bills: tuple[tuple[str, Bill], ...], attested_by: str = ""
     ) -> tuple["Ledger", Mapping[BillKey, BillState]]:
         """Record late bills of a sealed holder against its tokens in doubt.
--- a/anvilshift/core/loadmap.py
+++ b/anvilshift/core/loadmap.py
@@ -19,7 +19,7 @@
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.durations import Mean
 from anvilshift.core.ejection import Health
-from anvilshift.core.ratelimits import Meter, RateLimit
+from anvilshift.core.ratelimits import RateLimit, RequestLog
 
 PREFILL_TOKENS_PER_MS = 64.2
 """Prefill throughput of the users' engines, in prompt tokens a millisecond."""
@@ -90,7 +90,7 @@
     born: int = 0
     cold_until: Millis = -math.inf
 
-    def is_another(self, known: "TargetInfo") -> bool:
+    def is_other_start(self, known: "TargetInfo") -> bool:
         """Return whether this registration belongs to another start than the known."""
         return (self.born, self.address) != (known.born, known.address)
 
@@ -201,14 +201,14 @@
     health: Health = field(default_factory=Health)
     speed: Mean = field(default_factory=lambda: Mean(1.0))
     limit: RateLimit | None = None
-    meter: Meter = field(default_factory=Meter)
+    meter: RequestLog = field(default_factory=RequestLog)
     paused_until: Millis = -math.inf
 
     def find_rate(self, now: Millis) -> float | None:
         """Return its limit in requests a second; None where it has none."""
         return self.limit.find_rate(now) if self.limit else None
 
-    def wait_for_turn(self, now: Millis) -> Millis:
+    def find_admission_delay(self, now: Millis) -> Millis:
         """Return the time until its rate limit and its pause allow a request."""
         rate = self.find_rate(now)
         allowed = now if rate is None else self.meter.find_next(rate, now)
@@ -317,7 +317,9 @@
         If a crashed target were left out, the content that crashed it would be
         assigned another target in its place.
         """
-        present = [t.info for t in self.of_service(service) if not t.info.leaving]
+        present = [
+            t.info for t in self.list_service_targets(service) if not t.info.leaving
+        ]
         lost = [i for i, until in self._lost.values() if now < until]
         return {
             info.name: info.failure_domain
@@ -330,7 +332,7 @@
         for target in self.targets.values():
             self._by_service.setdefault(target.info.service, []).append(target)
 
-    def of_service(self, service: str) -> list[TargetLoad]:
+    def list_service_targets(self, service: str) -> list[TargetLoad]:
         """Return the targets of a service."""
         return self._by_service.get(service, [])
 
@@ -405,7 +407,7 @@
             for run in old:
                 self.end(name, run)
 
-    def forget_runs(self, prefix: str) -> None:
+    def remove_runs(self, prefix: str) -> None:
         """Remove the runs of a router that is gone, by the prefix of their ids."""
         for name, target in self.targets.items():
             for run in [run for run in target.runs if run.startswith(prefix)]:
--- a/anvilshift/core/membership.py
+++ b/anvilshift/core/membership.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True)
-class Vitals:
+class HeartbeatStatus:
     """The status that a router reports in its heartbeats.
 
     Parameters
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True)
-class Sighting:
+class MemberStatus:
     """A member and the instants at which it was last known to be alive.
 
     Parameters
@@ -93,12 +93,12 @@
 
     member: Member
     seen: Millis
-    vitals: Vitals = field(default_factory=Vitals)
+    heartbeat_status: HeartbeatStatus = field(default_factory=HeartbeatStatus)
     heard: Millis | None = None
 
 
 @dataclass(frozen=True)
-class Roster:
+class MemberTable:
     """The other routers of the fleet, as one router sees them.
 
     Parameters
@@ -110,17 +110,17 @@
     Examples
     --------
     >>> member = Member("r2", "r2-a", "h2", "127.0.0.1:1", "127.0.0.1:2", "north")
-    >>> roster = Roster(lease=5_000.0).record(member, now=0.0)
+    >>> roster = MemberTable(lease=5_000.0).record(member, now=0.0)
     >>> roster.lost(now=4_000.0), len(roster.lost(now=6_000.0))
     ([], 1)
     """
 
     lease: Millis
-    sightings: Mapping[str, Sighting] = field(default_factory=dict)
+    member_statuses: Mapping[str, MemberStatus] = field(default_factory=dict)
 
-    def record(self, member: Member, now: Millis) -> "Roster":
+    def record(self, member: Member, now: Millis) -> "MemberTable":
         """Return the roster updated with a member's new platform record."""
-        old = self.sightings.get(member.name)
+        old = self.member_statuses.get(member.name)
         if old is not None and old.member == member:
             return self
         base = old if old and old.member.incarnation == member.incarnation else None
@@ -128,38 +128,46 @@
             # The platform's watch may deliver a record older than the last
             # heartbeat; `seen` never decreases within one incarnation.
             member = replace(member, seen=max(member.seen, base.member.seen))
-        sighting = replace(base or Sighting(member, now), member=member, seen=now)
-        return replace(self, sightings={**self.sightings, member.name: sighting})
-
-    def hear(self, member: Member, vitals: Vitals, now: Millis) -> "Roster":
+        sighting = replace(base or MemberStatus(member, now), member=member, seen=now)
+        return replace(
+            self, member_statuses={**self.member_statuses, member.name: sighting}
+        )
+
+    def hear(
+        self, member: Member, heartbeat_status: HeartbeatStatus, now: Millis
+    ) -> "MemberTable":
         """Return the roster updated with a member's heartbeat."""
-        sighting = Sighting(member, now, vitals, heard=now)
-        return replace(self, sightings={**self.sightings, member.name: sighting})
+        sighting = MemberStatus(member, now, heartbeat_status, heard=now)
+        return replace(
+            self, member_statuses={**self.member_statuses, member.name: sighting}
+        )
 
-    def remove(self, name: str) -> "Roster":
+    def remove(self, name: str) -> "MemberTable":
         """Return the roster without a member."""
-        remaining = {k: v for k, v in self.sightings.items() if k != name}
-        return replace(self, sightings=remaining)
+        remaining = {k: v for k, v in self.member_statuses.items() if k != name}
+        return replace(self, member_statuses=remaining)
 
     def lost(self, now: Millis) -> list[Member]:
         """Return the members without a renewal or heartbeat for one lease."""
-        return [s.member for s in self.sightings.values() if self._is_lost(s, now)]
+        return [
+            s.member for s in self.member_statuses.values() if self._is_lost(s, now)
+        ]
 
-    def present(self, now: Millis) -> list[Sighting]:
+    def present(self, now: Millis) -> list[MemberStatus]:
         """Return the members with a renewal or heartbeat within one lease."""
-        return [s for s in self.sightings.values() if not self._is_lost(s, now)]
+        return [s for s in self.member_statuses.values() if not self._is_lost(s, now)]
 
-    def _is_lost(self, sighting: Sighting, now: Millis) -> bool:
+    def _is_lost(self, sighting: MemberStatus, now: Millis) -> bool:
         return now - sighting.seen > self.lease
 
-    def _list_joined_by(self, seen: int) -> list[Sighting]:
+    def _list_joined_by(self, seen: int) -> list[MemberStatus]:
         """Return the members that had joined by a revision of the platform.
 
         A router that has read the records up to that revision knows all of them.
         """
-        return [s for s in self.sightings.values() if s.member.since <= seen]
+        return [s for s in self.member_statuses.values() if s.member.since <= seen]
 
-    def is_platform_out(self, seen: int, now: Millis) -> bool:
+    def is_platform_down(self, seen: int, now: Millis) -> bool:
         """Tell whether a majority sends heartbeats and none of it renews.
 
         In that case no router can be removed and no declaration accepted, because
@@ -173,10 +181,10 @@
         """
         heard = [
             sighting
-            for sighting in self.sightings.values()
+            for sighting in self.member_statuses.values()
             if sighting.heard is not None and now - sighting.heard <= self.lease
         ]
-        if any(sighting.vitals.renewing_for > 0 for sighting in heard):
+        if any(sighting.heartbeat_status.renewing_for > 0 for sighting in heard):
             return False
         # Routers that joined later are left out: the vote on removing this router
         # leaves them out as well (see `may_remove`).
@@ -194,7 +202,7 @@
         it.  A router counts in favour if it reported after the loss that its
         renewals have succeeded for `_MIN_RENEWING_LEASES` leases.
         """
-        sighting = self.sightings.get(lost.name)
+        sighting = self.member_statuses.get(lost.name)
         if sighting is None or not self._is_lost(sighting, now):
             return False
         since = sighting.seen + self.lease
@@ -205,7 +213,7 @@
             for s in known
             if s.heard is not None
             and s.heard >= since
-            and s.vitals.renewing_for >= min_renewing
+            and s.heartbeat_status.renewing_for >= min_renewing
         ]
         counts_itself = own.since <= lost.seen
         own_vote = counts_itself and renewing_for >= min_renewing
--- a/anvilshift/core/orders.py
+++ b/anvilshift/core/orders.py
@@ -64,10 +64,10 @@
         members = [own, *present]
         if any(member.incarnation == self.owner for member in members):
             return False
-        return is_first(own, members)
+        return is_first_by_name(own, members)
 
 
-def is_first(own: Member, members: Iterable[Member]) -> bool:
+def is_first_by_name(own: Member, members: Iterable[Member]) -> bool:
     """Tell whether a router is the first by name of those not leaving."""
     staying = [member.name for member in (own, *members) if not member.leaving]
     return bool(staying) and min(staying) == own.name
@@ -113,7 +113,7 @@
     ]
 
 
-def compute_wait(lease: Millis) -> Millis:
+def compute_takeover_wait(lease: Millis) -> Millis:
     """Return how long after a takeover the former owner may still send orders.
 
     The former owner sends none later than one lease after it last read that it is the
@@ -121,7 +121,7 @@
 
     Examples
     --------
-    >>> compute_wait(lease=5_000.0)
+    >>> compute_takeover_wait(lease=5_000.0)
     6000.0
     """
     return lease + ORDER_TIMEOUT
--- a/anvilshift/core/permits.py
+++ b/anvilshift/core/permits.py
@@ -15,15 +15,15 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
+from anvilshift.core.allocators import rank_routers
 from anvilshift.core.clock import SECOND, Millis
-from anvilshift.core.keepers import rank_routers
-from anvilshift.core.ratelimits import Meter
+from anvilshift.core.ratelimits import RequestLog
 
-TAKEOVER: Millis = 300.0
+TAKEOVER_DELAY: Millis = 300.0
 """How long a router grants no permits after the routers that it sees have changed: the
 previous issuer may not have noticed the change, and the permits that it granted are
 reported meanwhile."""
-LOST_FOR: Millis = 60 * SECOND
+LOST_ROUTER_TIMEOUT: Millis = 60 * SECOND
 """How long an unreachable router is assumed to be sending: if the network is
 partitioned, the routers on the other side grant permits as well."""
 _AGING_INTERVAL: Millis = 300.0
@@ -86,7 +86,7 @@
     return bid.rank - int((now - bid.asked) / _AGING_INTERVAL)
 
 
-class PermitDesk:
+class PermitQueue:
     """The issuer's queue of bids for one target.
 
     Parameters
@@ -105,14 +105,14 @@
 
     Examples
     --------
-    >>> desk = PermitDesk(Meter())
+    >>> desk = PermitQueue(RequestLog())
     >>> now = 1_000.0
     >>> bids = [Bid(f"r1/{n}", "pounds", 1, now, now + 100.0, now) for n in range(3)]
     >>> [desk.ask(bid, 1.0, now).state.value for bid in bids]
     ['granted', 'refused', 'refused']
     """
 
-    def __init__(self, meter: Meter, opens: Millis = float("-inf")) -> None:
+    def __init__(self, meter: RequestLog, opens: Millis = float("-inf")) -> None:
         self.opens = opens
         self.issued = 0
         self.refused = 0
@@ -129,7 +129,7 @@
     def __contains__(self, run: str) -> bool:
         return run in self._waiting
 
-    def is_of(self, meter: Meter) -> bool:
+    def is_of(self, meter: RequestLog) -> bool:
         """Return whether the permits are recorded in a given meter."""
         return self._meter is meter
 
@@ -252,12 +252,12 @@
         return ahead + own_ahead
 
 
-class Attendance:
+class RouterPresence:
     """The reachable routers, the issuer of each target, and the unreachable routers.
 
     Examples
     --------
-    >>> seen = Attendance()
+    >>> seen = RouterPresence()
     >>> seen.note({"r1", "r2", "r3", "r4"}, leaving=set(), now=0.0)
     True
     >>> seen.note({"r1"}, leaving={"r4"}, now=1_000.0)
@@ -326,4 +326,4 @@
 
     def count_lost(self, now: Millis) -> int:
         """Return how many routers recently became unreachable without a shutdown."""
-        return sum(now - at < LOST_FOR for at in self._lost.values())
+        return sum(now - at < LOST_ROUTER_TIMEOUT for at in self._lost.values())
--- a/anvilshift/core/pools.py
+++ b/anvilshift/core/pools.py
@@ -15,9 +15,9 @@
 from anvilshift.core.durations import Durations, Mean
 from anvilshift.core.ejection import Health, State
 from anvilshift.core.homes import rank_targets
-from anvilshift.core.queue import Entry, FairQueue, Shares
+from anvilshift.core.queue import Entry, FairQueue, ServiceTags
 from anvilshift.core.queueset import QueueSet
-from anvilshift.core.ratelimits import Meter, RateLimit
+from anvilshift.core.ratelimits import RateLimit, RequestLog
 from anvilshift.core.sampling import SampledSet
 from anvilshift.core.work import Target
 
@@ -45,7 +45,7 @@
         Sum of the targets' levels, the mean logarithms of their relative times.
     """
 
-    shares: Shares = field(default_factory=Shares)
+    shares: ServiceTags = field(default_factory=ServiceTags)
     durations: Durations = field(default_factory=Durations)
     typical: Mean = field(default_factory=lambda: Mean(1.0))
     pools: "list[Pool]" = field(default_factory=list)
@@ -56,7 +56,7 @@
         """Compute the sum of the targets' levels from scratch."""
         self.levels = sum(view.health.level for view in self.views.values())
 
-    def count_out(self) -> int:
+    def count_unhealthy(self) -> int:
         """Return how many targets are ejected or being probed."""
         return sum(
             view.health.state is not State.HEALTHY for view in self.views.values()
@@ -73,7 +73,7 @@
         Requests that this router may have there, as a randomly rounded integer.
     pooled_slots
         Slots of this target that are included in its pools' slots.
-    out_since
+    last_outage
         When it last went out of use after being healthy.
     named
         Rate limit that the target has announced, if any.
@@ -87,9 +87,9 @@
     leaving: bool = False
     whole: int = 0
     pooled_slots: float = 0.0
-    out_since: Millis = float("-inf")
+    last_outage: Millis = float("-inf")
     named: RateLimit | None = None
-    meter: Meter = field(default_factory=Meter)
+    meter: RequestLog = field(default_factory=RequestLog)
     permits: int = 0
     pools: "list[Pool]" = field(default_factory=list)
     kind: Kind = field(default_factory=Kind)
@@ -100,14 +100,14 @@
         return not self.leaving and self.health.state is not State.EJECTED
 
     @property
-    def is_sound(self) -> bool:
+    def is_healthy(self) -> bool:
         """Return whether it is neither leaving nor ejected nor being probed."""
         return not self.leaving and self.health.state is State.HEALTHY
 
     def note_outage(self, now: Millis) -> None:
         """Record when a healthy target goes out of use; call it before the change."""
-        if self.is_sound:
-            self.out_since = now
+        if self.is_healthy:
+            self.last_outage = now
 
     @property
     def share(self) -> float:
@@ -122,10 +122,10 @@
             return min(float(self.health.cap), self.limit.share)
         return self.limit.share
 
-    def add_span(self, span: Millis, expected: Millis) -> None:
+    def add_latency(self, span: Millis, expected: Millis) -> None:
         """Record a measured time together with its expected value."""
         before = self.health.level
-        self.health.add_span(span, expected)
+        self.health.add_latency(span, expected)
         self.kind.levels += self.health.level - before
 
     def probe(self, now: Millis) -> None:
@@ -139,16 +139,16 @@
         level = self.health.level
         return (self.kind.levels - level) / others if others > 0 else level
 
-    def is_bad(self) -> bool:
+    def should_eject(self) -> bool:
         """Return whether the target should be ejected."""
-        return self.health.is_bad(self._mean_other_level())
+        return self.health.should_eject(self._mean_other_level())
 
-    def slowness(self) -> float:
+    def get_slowdown(self) -> float:
         """Return its times relative to those of the other targets, at least one.
 
         Faster targets aren't preferred, or the others would never be measured.
         """
-        return self.health.slowness(self._mean_other_level())
+        return self.health.get_slowdown(self._mean_other_level())
 
     def has_room(self) -> bool:
         """Return whether the rate limit and the slots allow another request."""
@@ -225,7 +225,7 @@
         )
         typical.add(entry.service)
 
-    def queue_of(self, entry: Entry) -> QueueSet:
+    def find_queues(self, entry: Entry) -> QueueSet:
         """Return the set of queues for long or for short work that an entry uses."""
         return self.long if entry.is_long else self.short
 
@@ -244,7 +244,7 @@
         """
         return rank_targets(content, self._names, _RANKED_TARGETS)
 
-    def remember_homes(self, content: str, homes: tuple[str, ...]) -> None:
+    def cache_homes(self, content: str, homes: tuple[str, ...]) -> None:
         """Cache the homes of a content, which are looked up for each attempt."""
         if len(self.homes) >= _MAX_CACHED:
             self.homes.clear()
--- a/anvilshift/core/prefixes.py
+++ b/anvilshift/core/prefixes.py
@@ -27,12 +27,12 @@
 take a router some hundred megabytes at most and usually far less."""
 
 
-class PrefixBelief:
+class PrefixIndex:
     """An index of the prefix blocks that are assumed to be in each target's cache.
 
     Examples
     --------
-    >>> index = PrefixBelief()
+    >>> index = PrefixIndex()
     >>> index.take(CacheEvent("e1", 1, stored=("p1", "p2")))
     >>> index.matched("e1", ("p1", "p2", "p3"))
     2
--- a/anvilshift/core/preparations.py
+++ b/anvilshift/core/preparations.py
@@ -14,7 +14,7 @@
 from collections import OrderedDict
 
 from anvilshift.core.clock import SECOND, Millis
-from anvilshift.core.exposure import FORGET_AFTER
+from anvilshift.core.exposure import CHARGE_LIFETIME
 
 _MAX_HELD = 10_000
 _OUTCOME_TIMEOUT: Millis = 2 * SECOND
@@ -63,7 +63,7 @@
     def is_held(self, content: str, now: Millis) -> bool:
         """Return whether a content is held back."""
         held = self._held.get(content)
-        if held is not None and now - held[1] > FORGET_AFTER:
+        if held is not None and now - held[1] > CHARGE_LIFETIME:
             del self._held[content]
             return False
         return held is not None
--- a/anvilshift/core/quarantine.py
+++ b/anvilshift/core/quarantine.py
@@ -25,8 +25,8 @@
 from dataclasses import dataclass, field
 
 from anvilshift.core.clock import SECOND, Millis
-from anvilshift.core.exposure import FORGET_AFTER, TARGETS, Exposure
-from anvilshift.core.work import Announce, Failure
+from anvilshift.core.exposure import CHARGE_LIFETIME, TARGETS, Exposure
+from anvilshift.core.work import CrashAnnouncement, Failure
 
 _WINDOW: Millis = 60 * SECOND
 _FAULTY_INCIDENTS = 3
@@ -125,7 +125,7 @@
         if record is None:
             return False
         if (
-            now - record.last_request > FORGET_AFTER
+            now - record.last_request > CHARGE_LIFETIME
             or now - record.first_crash > _MAX_QUARANTINE
         ):
             del self._records[content]
@@ -136,21 +136,21 @@
         )
         return len(record.crashes) >= TARGETS + extra_attempts
 
-    def list_confined(self, content: str) -> list[str]:
+    def list_only_targets(self, content: str) -> list[str]:
         """Return the only targets that may run the work; empty if any target may."""
-        return self._exposure.list_confined(content)
+        return self._exposure.list_only_targets(content)
 
-    def list_reached(self, content: str) -> list[str]:
+    def list_charged_targets(self, content: str) -> list[str]:
         """Return the targets charged to work that isn't known to be harmless."""
-        return self._exposure.list_reached(content)
+        return self._exposure.list_charged_targets(content)
 
     def keep(self, content: str, target: str, now: Millis) -> None:
         """Charge a target to work that another router may send there."""
         self._exposure.crashed(content, target, now)
 
-    def keep_running(self) -> None:
+    def retain_running_charges(self) -> None:
         """Include the work that runs now in the reports to routers that join."""
-        self._exposure.keep_running()
+        self._exposure.retain_running_charges()
 
     def is_harmless(self, content: str) -> bool:
         """Tell whether work had a complete answer and crashed nothing since."""
@@ -199,7 +199,7 @@
         sent: Millis,
         now: Millis,
         begun: bool = False,
-    ) -> Announce | None:
+    ) -> CrashAnnouncement | None:
         """Record a failed attempt; return the crash report for the other routers.
 
         Parameters
@@ -209,14 +209,14 @@
 
         Returns
         -------
-        Announce or None
+        CrashAnnouncement or None
             None if the failure doesn't look like a crash.
         """
         if failure not in _CRASH_LIKE or not content:
             return None
         blamed = self.crashed(content, target, sent, now, begun)
         times = self._records[content].crashes.count(target) if blamed else 0
-        return Announce(content, target, times)
+        return CrashAnnouncement(content, target, times)
 
     def crashed(
         self,
@@ -250,7 +250,7 @@
         faulty = self._grant_extra_attempts(target)
         # Work that has used up its bound of targets is reported even if the target
         # is at fault; otherwise each router would let the work run once more.
-        return not faulty or bool(self.list_confined(content))
+        return not faulty or bool(self.list_only_targets(content))
 
     def _blame(
         self, content: str, target: str, incident: _Incident, now: Millis
@@ -300,7 +300,7 @@
         self._records[content].crashed_before_output = True
         self._grant_extra_attempts(target)
 
-    def list_crashes(self, now: Millis) -> list[Announce]:
+    def list_crashes(self, now: Millis) -> list[CrashAnnouncement]:
         """Return each content with the targets that it crashed or may have crashed.
 
         A router that joins must learn them from the others, including contents
@@ -308,16 +308,16 @@
         through that router.
         """
         blamed = [
-            Announce(content, target, times)
+            CrashAnnouncement(content, target, times)
             for content, record in list(self._records.items())[-_MAX_REPORTED:]
-            if now - record.last_request <= FORGET_AFTER
+            if now - record.last_request <= CHARGE_LIFETIME
             and now - record.first_crash <= _MAX_QUARANTINE
             for target, times in Counter(record.crashes).items()
         ]
         known = {(report.content, report.target) for report in blamed}
         reached = [
-            Announce(content, target, times=0)
-            for content, target in self._exposure.list_kept(_MAX_REPORTED)
+            CrashAnnouncement(content, target, times=0)
+            for content, target in self._exposure.list_charges(_MAX_REPORTED)
             if (content, target) not in known
         ]
         return [*blamed, *reached]
--- a/anvilshift/core/queue.py
+++ b/anvilshift/core/queue.py
@@ -74,7 +74,7 @@
         return self.lane is not None
 
 
-class Shares:
+class ServiceTags:
     """Tokens that each organisation was served by a set of targets.
 
     Attributes
@@ -98,7 +98,7 @@
         self._last_tag = max(self._last_tag, tag)
         self.tags[organisation] = tag + cost / weight
 
-    def merge(self, other: "Shares") -> None:
+    def merge(self, other: "ServiceTags") -> None:
         """Combine with the tags of another set of targets; the higher tag counts."""
         for organisation, tag in other.tags.items():
             self.tags[organisation] = max(tag, self.tags.get(organisation, 0.0))
@@ -155,7 +155,7 @@
 
     Examples
     --------
-    >>> shares = Shares()
+    >>> shares = ServiceTags()
     >>> queue = FairQueue(shares)
     >>> for name, organisation in (("a", "hot"), ("b", "hot"), ("c", "quiet")):
     ...     work = Work(name, organisation, "advice", {}, 0, 10, deadline=9.0)
@@ -171,7 +171,7 @@
     ['a', 'c', 'b']
     """
 
-    def __init__(self, shares: Shares) -> None:
+    def __init__(self, shares: ServiceTags) -> None:
         self.shares = shares
         self.count = 0
         self._lanes: dict[str, _Lane] = {}
--- a/anvilshift/core/queueset.py
+++ b/anvilshift/core/queueset.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 
 from anvilshift.core.clock import Millis
-from anvilshift.core.queue import Entry, FairQueue, Shares
+from anvilshift.core.queue import Entry, FairQueue, ServiceTags
 
 Targets = tuple[str, ...] | None
 """The only targets that work may be sent to; None for any of its candidates."""
@@ -35,14 +35,14 @@
     Examples
     --------
     >>> from anvilshift.core.work import Work
-    >>> queues = QueueSet(Shares())
+    >>> queues = QueueSet(ServiceTags())
     >>> work = Work("a", "org", "advice", {}, 0, 10, deadline=9.0)
     >>> queues.push(Entry(work, service=1.0, cost=5.0, allowed=("e1", "e2")))
     >>> [len(list(queues.list_for(name))) for name in ("e1", "e3")]
     [1, 0]
     """
 
-    def __init__(self, shares: Shares) -> None:
+    def __init__(self, shares: ServiceTags) -> None:
         self.count = 0
         self.backlog: Millis = 0.0
         self.weight = 0.0
@@ -53,7 +53,7 @@
         self._weights: dict[str, float] = {}
         self._backlogs: defaultdict[str, Millis] = defaultdict(float)
 
-    def set_shares(self, shares: Shares) -> None:
+    def set_shares(self, shares: ServiceTags) -> None:
         """Use the shares of a larger set of targets from now on."""
         self._shares = shares
         for queue in self._queues.values():
--- a/anvilshift/core/ratelimits.py
+++ b/anvilshift/core/ratelimits.py
@@ -78,7 +78,7 @@
             return None
         return float(rate * 2 ** ((now - self.ended) / SECOND))
 
-    def is_news(self, known: "RateLimit | None") -> bool:
+    def differs_significantly(self, known: "RateLimit | None") -> bool:
         """Return whether the change should be sent to all routers at once."""
         if known is None or (self.ended is None) != (known.ended is None):
             return True
@@ -116,12 +116,12 @@
     return replace(known, ended=now)
 
 
-class Meter:
+class RequestLog:
     """Record of recent requests to one target from all routers that report theirs.
 
     Examples
     --------
-    >>> meter = Meter()
+    >>> meter = RequestLog()
     >>> for n in range(4):
     ...     meter.add(f"r1/{n}", at=100.0 * n)
     >>> meter.find_next(rate=1.0, now=400.0)
--- a/anvilshift/core/relocation.py
+++ b/anvilshift/core/relocation.py
@@ -17,7 +17,7 @@
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.pools import Pool, TargetView
 from anvilshift.core.queue import Entry
-from anvilshift.core.reach import RECENT_OUTAGE, Reach
+from anvilshift.core.restriction import RECENT_OUTAGE, TargetRestriction
 from anvilshift.core.state import DispatchState
 from anvilshift.core.work import Actions, Ask, Work
 
@@ -39,7 +39,7 @@
         self,
         state: DispatchState,
         backlog: Backlog,
-        reach: Reach,
+        reach: TargetRestriction,
         enter: Callable[[Entry, Millis], Actions],
     ) -> None:
         self._state = state
@@ -57,7 +57,7 @@
         self._backlog.entries[entry.work.identity] = entry, pool
         return [Ask(content, target, ticket)]
 
-    def move_stuck(self, view: TargetView, now: Millis) -> Actions:
+    def relocate_waiting(self, view: TargetView, now: Millis) -> Actions:
         """Relocate work that waits for a lost target and may use no other."""
         waiting = [
             (entry, pool)
@@ -68,8 +68,8 @@
         ]
         actions: Actions = []
         for entry, pool in waiting:
-            if self._reach.is_stuck(entry.work, pool, now):
-                pool.queue_of(entry).remove(entry)
+            if self._reach.has_no_usable_target(entry.work, pool, now):
+                pool.find_queues(entry).remove(entry)
                 del self._backlog.entries[entry.work.identity]
                 actions += self.begin(entry, pool, now)
         return actions
@@ -77,9 +77,9 @@
     def _find_target(self, work: Work, pool: Pool, now: Millis) -> str | None:
         """Return the target to propose for work; None if it must not be relocated."""
         state = self._state
-        if not state.settings.asks or state.is_alone or state.partitioned:
+        if not state.settings.asks or state.is_single_router or state.partitioned:
             return None
-        if state.quarantine.list_reached(work.content):
+        if state.quarantine.list_charged_targets(work.content):
             return None
         homes = self._reach.list_allowed(work, pool, now) or ()
         if not all(self._is_unaffected_by_lost_router(name, now) for name in homes):
@@ -90,14 +90,14 @@
 
     def _is_unaffected_by_lost_router(self, home: str, now: Millis) -> bool:
         """Tell whether no lost router can have sent the work that took a home down."""
-        view, lost = self._state.views.get(home), self._state.router_lost
+        view, lost = self._state.views.get(home), self._state.last_router_loss
         if view is None:
             return False
-        if view.out_since == -math.inf:
+        if view.last_outage == -math.inf:
             # The home was never in use here, so a router that was lost before this
             # one started counts too.
             lost = max(lost, self._state.began)
-        return now - lost > RECENT_OUTAGE or lost < view.out_since - _DETECTION_WINDOW
+        return now - lost > RECENT_OUTAGE or lost < view.last_outage - _DETECTION_WINDOW
 
     def prepare(self, ask: Ask, now: Millis) -> bool:
         """Hold a content back for another router's relocation.
@@ -108,7 +108,7 @@
             False if the content may have reached another target, if it is held back
             for another relocation, or if too many contents are held back.
         """
-        reached = self._state.quarantine.list_reached(ask.content)
+        reached = self._state.quarantine.list_charged_targets(ask.content)
         if any(name != ask.target for name in reached):
             return False
         return self._state.preparations.hold(ask.content, ask.ticket, now)
@@ -129,9 +129,9 @@
         ]
         actions: Actions = []
         for entry, pool in waiting:
-            pool.queue_of(entry).remove(entry)
+            pool.find_queues(entry).remove(entry)
             del self._backlog.entries[entry.work.identity]
-            if self._reach.is_stuck(entry.work, pool, now):
+            if self._reach.has_no_usable_target(entry.work, pool, now):
                 actions.append(self._backlog.refuse_stuck(entry))
             else:
                 actions += self._enter(entry, now)
--- a/anvilshift/core/reach.py
+++ b/anvilshift/core/restriction.py
@@ -18,7 +18,7 @@
 """Longer than a crashed target is out of use and than a caller keeps retrying."""
 
 
-class Reach:
+class TargetRestriction:
     """Determine the targets that this router may send work to."""
 
     def __init__(self, state: DispatchState) -> None:
@@ -39,12 +39,12 @@
         content = work.content
         if self._state.preparations.is_held(content, now):
             return ()
-        reached = self._state.quarantine.list_reached(content)
+        reached = self._state.quarantine.list_charged_targets(content)
         if len(reached) >= TARGETS:
             return tuple(reached)
         if not content or self._state.quarantine.is_harmless(content):
             return None
-        if self._state.is_alone:
+        if self._state.is_single_router:
             homes = tuple(pool.order(content)[:TARGETS])
             return homes if self._went_down_recently(homes, pool, now) else None
         homes = self._find_homes(content, pool)
@@ -57,7 +57,7 @@
             return None
         return [name for name in names if self.is_used(name, pool)]
 
-    def is_stuck(self, work: Work, pool: Pool, now: Millis) -> bool:
+    def has_no_usable_target(self, work: Work, pool: Pool, now: Millis) -> bool:
         """Tell whether no target that work may be sent to is in use now.
 
         Work without any allowed target counts as stuck only once the outcome of
@@ -77,7 +77,7 @@
             for former in self._state.former.list_domains(targets):
                 former_homes = choose_homes(content, former) if former else ()
                 homes = tuple(name for name in homes if name in former_homes)
-            pool.remember_homes(content, homes)
+            pool.cache_homes(content, homes)
         return homes
 
     def is_used(self, name: str, pool: Pool) -> bool:
@@ -95,10 +95,10 @@
         targets are down and no others.
         """
         views = [self._state.views[name] for name in names if name in self._state.views]
-        if any(now - v.out_since > RECENT_OUTAGE for v in views):
+        if any(now - v.last_outage > RECENT_OUTAGE for v in views):
             return False
-        if any(v.is_sound for v in views):
+        if any(v.is_healthy for v in views):
             return False
         declared = [self._state.views.get(name) for name in pool.priorities]
-        unsound = sum(view is not None and not view.is_sound for view in declared)
+        unsound = sum(view is not None and not view.is_healthy for view in declared)
         return unsound <= len(names)
--- a/anvilshift/core/retention.py
+++ b/anvilshift/core/retention.py
@@ -17,7 +17,7 @@
 
 from anvilshift.core.clock import Millis
 
-SLACK: Millis = 150.0
+RETENTION_MARGIN: Millis = 150.0
 """Margin added to the retention time that the store states, because it discards a
 change some time after the retention time has passed."""
 _MIN_SPACING: Millis = 80.0
@@ -56,7 +56,7 @@
     --------
     >>> marks = MarkLog(history=20_000.0)
     >>> marks.add(Mark(followed=1_000.0, revision=7))
-    >>> [span for span, mark in marks.list_spans(anchor=18_000.0, most=8_000.0)]
+    >>> [span for span, mark in marks.list_bounds(anchor=18_000.0, most=8_000.0)]
     [3150.0]
     """
 
@@ -73,7 +73,7 @@
 
     def expire(self, now: Millis) -> None:
         """Remove marks that the store's history no longer reaches back to."""
-        oldest = now - self.history - SLACK
+        oldest = now - self.history - RETENTION_MARGIN
         self._marks = [mark for mark in self._marks if mark.followed >= oldest]
 
     def list_marks(self) -> tuple[Mark, ...]:
@@ -91,7 +91,7 @@
         ----------
         spans
             Bounds on the time since an instant of the former process, with their
-            revisions, as `list_spans` returns them.
+            revisions, as `list_bounds` returns them.
         instant
             An instant of this process' clock, no earlier than the former one.  The
             marks appear more recent by the time between the two instants, so they
@@ -105,9 +105,9 @@
         (Mark(followed=-16500.0, revision=7),)
         """
         for span, revision in spans:
-            self.add(Mark(instant - (self.history + SLACK - span), revision))
+            self.add(Mark(instant - (self.history + RETENTION_MARGIN - span), revision))
 
-    def list_spans(self, anchor: Millis, most: Millis) -> list[tuple[Millis, Mark]]:
+    def list_bounds(self, anchor: Millis, most: Millis) -> list[tuple[Millis, Mark]]:
         """Return marks with the bound that each proves on the time since an instant.
 
         Parameters
@@ -124,7 +124,7 @@
             be followed, less time than the bound has passed since the instant.
         """
         spans = (
-            (mark.followed + self.history + SLACK - anchor, mark)
+            (mark.followed + self.history + RETENTION_MARGIN - anchor, mark)
             for mark in self._marks
         )
         return [(span, mark) for span, mark in spans if 0.0 < span <= most]
--- a/anvilshift/core/resending.py
+++ b/anvilshift/core/retrier.py
@@ -5,19 +5,19 @@
 from anvilshift.core.errors import ENGINE_FAILED, NO_ENGINE
 from anvilshift.core.pools import Pool
 from anvilshift.core.queue import Entry
-from anvilshift.core.reach import Reach
 from anvilshift.core.relocation import Relocation
+from anvilshift.core.restriction import TargetRestriction
 from anvilshift.core.retries import BACKOFF
 from anvilshift.core.sending import Sender
 from anvilshift.core.state import NO_TARGET_RETRY, DispatchState
-from anvilshift.core.work import NEVER_RAN, Actions, Failure
+from anvilshift.core.work import NOT_EXECUTED, Actions, Failure
 
-NEWS_SPAN: Millis = 50.0
+CRASH_REPORT_DELAY: Millis = 50.0
 """Delay between a crash of a target and the next attempt of work that ran there.  By
 then other routers that lost a target to the same content have reported it."""
 
 
-class Resending:
+class Retrier:
     """Retries, delays or refuses work whose attempt failed."""
 
     def __init__(
@@ -25,7 +25,7 @@
         state: DispatchState,
         backlog: Backlog,
         sender: Sender,
-        reach: Reach,
+        reach: TargetRestriction,
         relocation: Relocation,
     ) -> None:
         self._state = state
@@ -38,7 +38,7 @@
         """Return the actions for work whose attempt has just failed."""
         work = entry.work
         pool = self._state.pools.find(work.candidates)
-        never_ran = failure in NEVER_RAN
+        never_ran = failure in NOT_EXECUTED
         code = NO_ENGINE if never_ran else ENGINE_FAILED
         refusal = self._state.refuse(entry, code, failure.value, NO_TARGET_RETRY)
         if self._state.quarantine.is_quarantined(work.content, now):
@@ -49,22 +49,22 @@
             return [refusal]
         if pool is None or not pool.usable:
             return [refusal]
-        if self._reach.is_stuck(work, pool, now):
+        if self._reach.has_no_usable_target(work, pool, now):
             return self._relocation.begin(entry, pool, now) if never_ran else [refusal]
-        if self._state.has_no_hope(entry, pool, now):
+        if self._state.would_miss_deadline(entry, pool, now):
             return [refusal]
         if not self._state.retries.take(failure):
             return [refusal]
-        confined = self._state.quarantine.list_confined(work.content)
-        if confined or not self._sender.has_untried(entry, pool, now):
+        confined = self._state.quarantine.list_only_targets(work.content)
+        if confined or not self._sender.has_untried_target(entry, pool, now):
             pause = BACKOFF.draw(entry.attempts, self._state.rng)
             return self._back_off(entry, pool, now, pause)
-        reached = self._state.quarantine.list_reached(work.content)
-        if reached and not self._state.is_alone:
-            return self._back_off(entry, pool, now, NEWS_SPAN)
-        return self.send_again(entry, now)
+        reached = self._state.quarantine.list_charged_targets(work.content)
+        if reached and not self._state.is_single_router:
+            return self._back_off(entry, pool, now, CRASH_REPORT_DELAY)
+        return self.requeue(entry, now)
 
-    def send_again(self, entry: Entry, now: Millis) -> Actions:
+    def requeue(self, entry: Entry, now: Millis) -> Actions:
         """Queue and offer work again, or refuse it if no target is usable."""
         pool = self._state.pools.find(entry.work.candidates)
         if pool is None or not pool.usable:
@@ -93,6 +93,6 @@
             work.content, now
         ):
             return [self._state.refuse_quarantined(work)]
-        if pool is not None and self._reach.is_stuck(work, pool, now):
+        if pool is not None and self._reach.has_no_usable_target(work, pool, now):
             return [self._backlog.refuse_stuck(entry)]
-        return self.send_again(entry, now)
+        return self.requeue(entry, now)
--- a/anvilshift/core/routing.py
+++ b/anvilshift/core/routing.py
@@ -37,7 +37,7 @@
         Longest pause between two events within which a stream is on time.
     priority
         Priority among routes; 0 is the most urgent.
-    most_targets
+    max_targets_per_request
         Maximum number of targets on which one request may run.
     anonymous
         Whether requests without a credential are accepted.
@@ -54,7 +54,7 @@
     objective: Millis
     pause_objective: Millis | None = None
     priority: int = 0
-    most_targets: int = 1
+    max_targets_per_request: int = 1
     anonymous: bool = False
     resumable: bool = False
 
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True)
-class ModelFigures:
+class ModelLimits:
     """The declared figures of a model service's engines.
 
     Parameters
@@ -82,7 +82,7 @@
         Requests that one engine runs concurrently.
     cache_tokens
         Tokens that one engine's KV cache holds, of running requests and cached ones.
-    tokens_an_event
+    tokens_per_event
         Maximum number of tokens in one event of a stream.
     fetch_per_token
         Time to transfer the cache entries of one token from another engine;
@@ -91,7 +91,7 @@
 
     slots: int = 0
     cache_tokens: int = 0
-    tokens_an_event: int = 1
+    tokens_per_event: int = 1
     fetch_per_token: Millis = math.inf
 
 
@@ -109,11 +109,11 @@
 
     name: str
     max_connections: int
-    model: ModelFigures | None = None
+    model: ModelLimits | None = None
 
 
 @dataclass(frozen=True)
-class Tenancy:
+class OrganisationBudget:
     """An organisation, its credentials and its prepaid tokens.
 
     Parameters
@@ -147,7 +147,7 @@
     version: int
     rules: tuple[Rule, ...] = ()
     services: Mapping[str, Service] = field(default_factory=dict)
-    organisations: Mapping[str, Tenancy] = field(default_factory=dict)
+    organisations: Mapping[str, OrganisationBudget] = field(default_factory=dict)
     limits: ClientLimits = ClientLimits()
 
 
@@ -182,14 +182,14 @@
                 return rule
         return None
 
-    def find_pause(self, service: str) -> Millis:
+    def find_pause_objective(self, service: str) -> Millis:
         """Return the shortest pause objective of a service's routes.
 
         It is infinite for a service without one.
         """
         return self._pauses.get(service, math.inf)
 
-    def find_organisation(self, key: str) -> Tenancy | None:
+    def find_organisation(self, key: str) -> OrganisationBudget | None:
         """Return the organisation to which a credential belongs, if any."""
         return self._by_key.get(key)
 
--- a/anvilshift/core/sending.py
+++ b/anvilshift/core/sending.py
@@ -10,9 +10,9 @@
 from anvilshift.core.placement import DRAWN, HOLDERS, Option, choose
 from anvilshift.core.pools import Pool, TargetView
 from anvilshift.core.queue import CLOSE, Entry, FairQueue
-from anvilshift.core.reach import Reach
+from anvilshift.core.restriction import TargetRestriction
 from anvilshift.core.state import Attempt, DispatchState
-from anvilshift.core.work import Actions, Announce, Refuse, Send
+from anvilshift.core.work import Actions, CrashAnnouncement, Refuse, Send
 
 _MAX_SKIPPED = 4
 """Maximum number of requests skipped for one slot, which bounds an event's cost."""
@@ -32,7 +32,9 @@
         Callback for each attempt that begins.
     """
 
-    def __init__(self, state: DispatchState, backlog: Backlog, reach: Reach) -> None:
+    def __init__(
+        self, state: DispatchState, backlog: Backlog, reach: TargetRestriction
+    ) -> None:
         self.running: dict[str, Attempt] = {}
         self.on_sent: Callable[[Attempt, Millis], None] = lambda attempt, now: None
         self._state = state
@@ -78,7 +80,7 @@
             homes = [name for name in fresh if name in ordered[:TARGETS]]
             # A content that may have crashed a target also gets candidates after its
             # homes, or it would wait while its second home runs another suspect.
-            reached = self._state.quarantine.list_reached(entry.work.content)
+            reached = self._state.quarantine.list_charged_targets(entry.work.content)
             names = fresh[:TARGETS] if reached or not homes else homes
         if not names:
             names = pool.open.draw(rng, DRAWN)
@@ -87,7 +89,7 @@
     def _refuse_quarantined(self, entry: Entry, pool: Pool) -> Refuse:
         """Refuse work whose content was quarantined while it waited."""
         del self._backlog.entries[entry.work.identity]
-        pool.queue_of(entry).remove(entry)
+        pool.find_queues(entry).remove(entry)
         return self._state.refuse_quarantined(entry.work)
 
     def _make_option(self, entry: Entry, view: TargetView) -> Option:
@@ -96,7 +98,7 @@
         return Option(
             name,
             view.limit.occupancy(),
-            view.slowness(),
+            view.get_slowdown(),
             matched / len(prefixes) if prefixes else 0.0,
             view.target.failure_domain != self._state.settings.failure_domain,
         )
@@ -112,7 +114,7 @@
         allowed = self._reach.list_allowed(work, pool, now)
         if allowed is not None and name not in allowed:
             return False
-        if name in entry.tried and self.has_untried(entry, pool, now):
+        if name in entry.tried and self.has_untried_target(entry, pool, now):
             return False
         if view.health.state is State.PROBING:
             slack = work.deadline - now
@@ -123,7 +125,7 @@
             return True
         return self._state.quarantine.is_free(name, content)
 
-    def has_untried(self, entry: Entry, pool: Pool, now: Millis) -> bool:
+    def has_untried_target(self, entry: Entry, pool: Pool, now: Millis) -> bool:
         """Return whether some usable target hasn't been tried for work yet."""
         usable = self._reach.list_usable(entry.work, pool, now)
         if usable is None:
@@ -138,26 +140,26 @@
         actions: Actions = []
         skipped: list[tuple[Entry, Pool]] = []
         while view.has_room() and len(skipped) < _MAX_SKIPPED:
-            found = self.next_for(view)
+            found = self.find_next_queue(view)
             if found is None:
                 break
             queue, pool = found
             entry = queue.peek()
             if self._state.quarantine.is_quarantined(entry.work.content, now):
                 actions.append(self._refuse_quarantined(entry, pool))
-            elif self._state.has_no_hope(entry, pool, now):
+            elif self._state.would_miss_deadline(entry, pool, now):
                 detail = "no slot came free in time"
                 actions.append(self._backlog.give_up(entry, OVERLOADED, detail))
             elif self._is_eligible(entry, view, now):
                 actions += self._send(entry, pool, view, now)
             else:
-                pool.queue_of(entry).remove(entry)
+                pool.find_queues(entry).remove(entry)
                 skipped.append((entry, pool))
         for entry, pool in skipped:
-            pool.queue_of(entry).push(entry)
+            pool.find_queues(entry).push(entry)
         return actions
 
-    def next_for(self, view: TargetView) -> tuple[FairQueue, Pool] | None:
+    def find_next_queue(self, view: TargetView) -> tuple[FairQueue, Pool] | None:
         """Return the queue from which a target is sent work next, and its pool.
 
         The queues of the highest priority are ordered by the organisations' tags
@@ -180,12 +182,12 @@
     def _send(self, entry: Entry, pool: Pool, view: TargetView, now: Millis) -> Actions:
         work, name = entry.work, view.target.name
         actions: Actions = []
-        reached = self._state.quarantine.list_reached(work.content)
+        reached = self._state.quarantine.list_charged_targets(work.content)
         if reached and name not in reached:
             # Announced before the target can crash: a router with a copy of the
             # request must not use the content's credit for another target.
-            actions.append(Announce(work.content, name, times=0))
-        pool.queue_of(entry).take(entry)
+            actions.append(CrashAnnouncement(work.content, name, times=0))
+        pool.find_queues(entry).take(entry)
         del self._backlog.entries[work.identity]
         entry.attempts += 1
         entry.tried.add(name)
--- a/anvilshift/core/once.py
+++ b/anvilshift/core/sequencenumbers.py
@@ -8,7 +8,7 @@
 
 
 @dataclass
-class Numbers:
+class SequenceNumbers:
     """The numbers of one sender's messages that were received.
 
     Numbers up to `floor` are no longer stored and count as received.  So a message
@@ -23,7 +23,7 @@
 
     Examples
     --------
-    >>> numbers = Numbers()
+    >>> numbers = SequenceNumbers()
     >>> numbers.take(1), numbers.take(3), numbers.take(1), numbers.take(2)
     (True, True, False, True)
     """
--- a/anvilshift/core/state.py
+++ b/anvilshift/core/state.py
@@ -3,14 +3,14 @@
 import random
 from dataclasses import dataclass, field
 
-from anvilshift.core.admission import draw_retry, is_hopeless
+from anvilshift.core.admission import draw_retry_delay, misses_deadline
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.durations import Mean
 from anvilshift.core.errors import QUARANTINED, Code
-from anvilshift.core.exposure import FORGET_AFTER
+from anvilshift.core.exposure import CHARGE_LIFETIME
 from anvilshift.core.former import FormerTargets
 from anvilshift.core.pools import Pool, Pools, TargetView
-from anvilshift.core.prefixes import PrefixBelief
+from anvilshift.core.prefixes import PrefixIndex
 from anvilshift.core.preparations import Preparations
 from anvilshift.core.quarantine import Quarantine
 from anvilshift.core.queue import Entry
@@ -72,7 +72,7 @@
         Whether any other router is known, including one that doesn't serve yet.
     began
         Instant at which targets were first declared to this router.
-    router_lost
+    last_router_loss
         Instant at which a router was last found lost without having announced that
         it leaves.
     """
@@ -81,7 +81,7 @@
     rng: random.Random
     views: dict[str, TargetView] = field(default_factory=dict)
     timers: Timers = field(default_factory=Timers)
-    prefixes: PrefixBelief = field(default_factory=PrefixBelief)
+    prefixes: PrefixIndex = field(default_factory=PrefixIndex)
     quarantine: Quarantine = field(default_factory=Quarantine)
     former: FormerTargets = field(default_factory=FormerTargets)
     retries: RetryBudget = field(default_factory=RetryBudget)
@@ -90,14 +90,14 @@
     partitioned: bool = False
     has_others: bool = False
     began: Millis = float("inf")
-    router_lost: Millis = float("-inf")
+    last_router_loss: Millis = float("-inf")
 
     def __post_init__(self) -> None:
         self.routers = self.settings.routers
         self.pools = Pools(self.views)
 
     @property
-    def is_alone(self) -> bool:
+    def is_single_router(self) -> bool:
         """Tell whether no other router shares the targets."""
         return self.routers == 1 and not (self.partitioned or self.has_others)
 
@@ -110,7 +110,7 @@
             Whether to round the target's limit to a whole number anew, at random.
         """
         if draw:
-            view.whole = view.limit.draw_whole(self.rng)
+            view.whole = view.limit.round_randomly(self.rng)
         view.refresh()
 
     def due(self, work: Work) -> Millis:
@@ -121,17 +121,17 @@
         """
         return work.deadline - min(_MAX_RECORDING, self.recording.high())
 
-    def has_no_hope(self, entry: Entry, pool: Pool, now: Millis) -> bool:
+    def would_miss_deadline(self, entry: Entry, pool: Pool, now: Millis) -> bool:
         """Tell whether work sent now is expected to miss its deadline."""
         durations = pool.kind.durations
         if not durations.is_fresh(now):
             return False
-        service = durations.safe_service(entry.work)
-        return is_hopeless(self.due(entry.work), now, 0.0, service)
+        service = durations.service_upper_bound(entry.work)
+        return misses_deadline(self.due(entry.work), now, 0.0, service)
 
     def refuse_quarantined(self, work: Work) -> Refuse:
         """Return the refusal of work that is quarantined for crashing targets."""
-        return Refuse(work.identity, QUARANTINED, "", FORGET_AFTER)
+        return Refuse(work.identity, QUARANTINED, "", CHARGE_LIFETIME)
 
     def refuse(self, entry: Entry, code: Code, detail: str, excess: Millis) -> Refuse:
         """Return a refusal with a randomised retry delay.
@@ -141,5 +141,5 @@
         excess
             Milliseconds by which the wait must shorten for the work to be accepted.
         """
-        retry = draw_retry(excess, self.rng)
+        retry = draw_retry_delay(excess, self.rng)
         return Refuse(entry.work.identity, code, detail, retry)
--- a/anvilshift/core/rationing.py
+++ b/anvilshift/core/targetlimits.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True)
-class Want:
+class PermitNeed:
     """A request for a permit: work waits for a target and lacks only a permit.
 
     Parameters
@@ -38,7 +38,7 @@
     deadline: Millis
 
 
-class Rationing:
+class TargetLimits:
     """The rate limits that a router's targets have stated, and their permits."""
 
     def __init__(self, state: DispatchState, sender: Sender) -> None:
@@ -61,7 +61,7 @@
             self._limited.add(view.target.name)
             self._state.refresh(view)
 
-    def end_over(self, now: Millis) -> Actions:
+    def remove_expired(self, now: Millis) -> Actions:
         """Remove limits that no longer apply, and send the work that waited."""
         actions: Actions = []
         for name in list(self._limited):
@@ -76,7 +76,7 @@
                 actions += self._sender.fill(view, now)
         return actions
 
-    def list_wants(self) -> list[Want]:
+    def list_permit_needs(self) -> list[PermitNeed]:
         """Return the permits to request, at most one for each target."""
         wants = []
         for name in self._limited:
@@ -85,14 +85,14 @@
                 wants += self._find_want(view)
         return wants
 
-    def _find_want(self, view: TargetView) -> list[Want]:
-        found = self._sender.next_for(view)
+    def _find_want(self, view: TargetView) -> list[PermitNeed]:
+        found = self._sender.find_next_queue(view)
         if found is None:
             return []
         queue, pool = found
         work, name = queue.peek().work, view.target.name
         rank = -pool.priorities[name]
-        return [Want(name, work.organisation, rank, work.deadline)]
+        return [PermitNeed(name, work.organisation, rank, work.deadline)]
 
     def permit(self, name: str, run: str, now: Millis) -> Actions:
         """Apply a granted permit to the work that is next for the target.
--- a/anvilshift/core/patience.py
+++ b/anvilshift/core/timeouts.py
@@ -27,7 +27,7 @@
 100 pauses are under two times the objective, and callers disconnect after eight."""
 _DEFAULT_PAUSE_TIMEOUT: Millis = 1_200.0
 """Timeout between the events of a stream whose route has no pause objective."""
-SHORT_RANK, LONG_RANK, LATE_RANK = 1, 3, 7
+SHORT_PRIORITY, LONG_PRIORITY, LATE_PRIORITY = 1, 3, 7
 """Priorities of requests at an engine; 0 is served first and 9 last."""
 _LONG_PROMPT_WAIT: Millis = 60.0
 """A prompt whose first byte is expected later than this gets a lower priority than
@@ -41,7 +41,7 @@
 callers that were refused together do not return together."""
 
 
-def bound_try(rule: Rule, wait: Millis, left: Millis) -> Millis:
+def find_attempt_timeout(rule: Rule, wait: Millis, left: Millis) -> Millis:
     """Return the timeout for the start of a target's answer.
 
     Parameters
@@ -54,7 +54,7 @@
     Examples
     --------
     >>> streaming = Rule("a", "h", "/", RequestKind.STREAMING, (), 15e3, 400.0)
-    >>> bound_try(streaming, wait=100.0, left=15_000.0)
+    >>> find_attempt_timeout(streaming, wait=100.0, left=15_000.0)
     800.0
     """
     if rule.kind is RequestKind.STREAMING:
@@ -62,7 +62,7 @@
     return max(_MIN_ATTEMPT_TIMEOUT, left * _ATTEMPT_FRACTION)
 
 
-def bound_silence(rule: Rule) -> Millis:
+def find_pause_timeout(rule: Rule) -> Millis:
     """Return the longest pause in a stream before its engine counts as hung."""
     pause = rule.pause_objective
     return pause * _PAUSE_FACTOR if pause else _DEFAULT_PAUSE_TIMEOUT
@@ -82,8 +82,8 @@
         Predicted time to the first byte.
     """
     if elapsed + wait > rule.objective:
-        return LATE_RANK
-    return LONG_RANK if wait > _LONG_PROMPT_WAIT else SHORT_RANK
+        return LATE_PRIORITY
+    return LONG_PRIORITY if wait > _LONG_PROMPT_WAIT else SHORT_PRIORITY
 
 
 def find_return(wait: Millis, left: Millis, rng: random.Random) -> Millis:
@@ -103,12 +103,14 @@
 _MAX_EVENTS_IN_TRANSIT = 2
 """Upper bound of the events that an engine produces until it learns that the
 connection was closed: events are at least 20 ms apart, and a close takes 5 ms."""
-NO_ENGINE_RETURN: Millis = 0.7 * SECOND
+NO_ENGINE_RETRY: Millis = 0.7 * SECOND
 """Retry delay when no engine is available: a restart or a hand-over of an engine takes
 about this long."""
 
 
-def count_left(prompt: int, events: int, tokens_an_event: int, most: int) -> int:
+def bound_abandoned_tokens(
+    prompt: int, events: int, tokens_per_event: int, most: int
+) -> int:
     """Return an upper bound of the tokens used by a stream whose caller disconnected.
 
     Parameters
@@ -122,7 +124,7 @@
 
     Examples
     --------
-    >>> count_left(prompt=100, events=4, tokens_an_event=5, most=400)
+    >>> bound_abandoned_tokens(prompt=100, events=4, tokens_per_event=5, most=400)
     130
     """
-    return min(most, prompt + (events + _MAX_EVENTS_IN_TRANSIT) * tokens_an_event)
+    return min(most, prompt + (events + _MAX_EVENTS_IN_TRANSIT) * tokens_per_event)
--- a/anvilshift/core/asking.py
+++ b/anvilshift/core/tokensearch.py
@@ -12,7 +12,7 @@
 
 from anvilshift.core.clock import Millis
 
-ANSWER_WITHIN: Millis = 60.0
+ANSWER_TIMEOUT: Millis = 60.0
 """Time limit for a keeper's answer, after which the datagram counts as lost.  An answer
 takes 4 ms, plus at times a write to the store."""
 _MAX_TRIES = 2
@@ -39,12 +39,12 @@
 
 
 @dataclass
-class TokenHunt:
+class TokenSearch:
     """One request's search for tokens among the keepers of its organisation.
 
     Parameters
     ----------
-    keepers
+    allocators
         The keepers to ask, in this order.
     draws, records
         Numbers of draws from the store and of use records that this router had
@@ -54,7 +54,7 @@
 
     Examples
     --------
-    >>> hunt = TokenHunt(("r1", "r2"))
+    >>> hunt = TokenSearch(("r1", "r2"))
     >>> hunt.find_next(0.0), hunt.find_next(10.0), hunt.find_next(60.0)
     ('r1', None, 'r1')
     >>> hunt.note(Answer(certain=False, wait=400.0))
@@ -62,7 +62,7 @@
     'r2'
     """
 
-    keepers: Sequence[str]
+    allocators: Sequence[str]
     draws: int = 0
     records: int = 0
     answers: list[Answer] = field(default_factory=list)
@@ -72,14 +72,14 @@
 
     def find_next(self, now: Millis) -> str | None:
         """Return the keeper to ask now, if any, and count it as asked."""
-        if now < self._next_due or self._index >= len(self.keepers):
+        if now < self._next_due or self._index >= len(self.allocators):
             return None
         if self._tries == _MAX_TRIES:
             self._advance()
             return self.find_next(now)
         self._tries += 1
-        self._next_due = now + ANSWER_WITHIN
-        return self.keepers[self._index]
+        self._next_due = now + ANSWER_TIMEOUT
+        return self.allocators[self._index]
 
     def note(self, answer: Answer) -> None:
         """Record that the keeper asked last lacks the tokens; go on to the next."""
@@ -97,9 +97,9 @@
 
     def is_over(self, now: Millis) -> bool:
         """Tell whether every keeper has answered, timed out or been skipped."""
-        if self._index < len(self.keepers) - 1:
+        if self._index < len(self.allocators) - 1:
             return False
-        is_last = self._index == len(self.keepers) - 1
+        is_last = self._index == len(self.allocators) - 1
         return not is_last or (self._tries == _MAX_TRIES and now >= self._next_due)
 
     def is_unanswered(self, now: Millis) -> bool:
@@ -120,7 +120,7 @@
     def is_certain(self) -> bool:
         """Tell whether every keeper said that the total can't cover the request."""
         certain = [answer.certain for answer in self.answers]
-        return len(certain) >= len(self.keepers) > 0 and all(certain)
+        return len(certain) >= len(self.allocators) > 0 and all(certain)
 
     def find_wait(self) -> Millis | None:
         """Return the shortest wait that a keeper stated; None without an answer."""
--- a/anvilshift/core/usage.py
+++ b/anvilshift/core/usage.py
@@ -17,7 +17,7 @@
 
 from anvilshift.core.clock import SECOND, Millis
 
-SPREAD_OVER: Millis = 8 * SECOND
+RELEASE_TIME: Millis = 8 * SECOND
 """Time since a record after which all tokens that it allows may be spent.  It is the
 longest expected outage of the store."""
 
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class Spent:
+class SpendingBounds:
     """Lower and upper bound on what an ended router spent of a total."""
 
     least: int
@@ -48,7 +48,7 @@
         Tokens that it may spend beyond `recorded` at any time.
     cushion
         Tokens that it may spend beyond `recorded`, without another record, once
-        `SPREAD_OVER` has passed; includes `at_once`.
+        `RELEASE_TIME` has passed; includes `at_once`.
     """
 
     recorded: int
@@ -72,7 +72,7 @@
         # In the two seconds that a restart takes, quadratic growth releases a sixteenth
         # of the rest, where linear growth releases a quarter.  In a store outage, the
         # released amount therefore reaches the actual use later.
-        fraction = min(1.0, max(0.0, elapsed) / SPREAD_OVER) ** 2
+        fraction = min(1.0, max(0.0, elapsed) / RELEASE_TIME) ** 2
         return (
             self.recorded + self.at_once + int((self.cushion - self.at_once) * fraction)
         )
@@ -98,7 +98,7 @@
             return 0.0
         if beyond > delayed:
             return None
-        return max(0.0, math.sqrt(beyond / delayed) * SPREAD_OVER - elapsed)
+        return max(0.0, math.sqrt(beyond / delayed) * RELEASE_TIME - elapsed)
 
 
 @dataclass(frozen=True)
@@ -160,7 +160,7 @@
             return None
         return elapsed
 
-    def bound(self, elapsed: Millis) -> dict[str, Spent]:
+    def bound(self, elapsed: Millis) -> dict[str, SpendingBounds]:
         """Return bounds on what was spent, by organisation.
 
         Parameters
@@ -172,9 +172,9 @@
         --------
         >>> record = UseRecord("r1.a", "10.0.0.1", uses={"pounds": Use(100, 20, 100)})
         >>> record.bound(4_000.0)["pounds"]
-        Spent(least=100, most=140)
+        SpendingBounds(least=100, most=140)
         """
         return {
-            name: Spent(use.recorded, use.find_limit(elapsed))
+            name: SpendingBounds(use.recorded, use.find_limit(elapsed))
             for name, use in self.uses.items()
         }
--- a/anvilshift/core/work.py
+++ b/anvilshift/core/work.py
@@ -77,7 +77,7 @@
     TIMED_OUT = "timed out"
 
 
-NEVER_RAN = (Failure.NOT_SENT, Failure.REJECTED)
+NOT_EXECUTED = (Failure.NOT_SENT, Failure.REJECTED)
 """Failures that prove that the target did not start the request."""
 
 
@@ -158,7 +158,7 @@
 
 
 @dataclass(frozen=True)
-class Announce:
+class CrashAnnouncement:
     """Tell the other routers that a target crashed while it ran this content.
 
     Parameters
@@ -188,7 +188,7 @@
     ticket: str
 
 
-Action = Send | Refuse | Cancel | Announce | Ask
+Action = Send | Refuse | Cancel | CrashAnnouncement | Ask
 Actions = list[Action]
 
 
--- a/anvilshift/gateway/attempts.py
+++ b/anvilshift/gateway/attempts.py
@@ -14,7 +14,7 @@
 from anvilshift.core.work import Failure
 from anvilshift.gateway.border import Delivery, Dialect, Notes
 from anvilshift.gateway.journal import Journal
-from anvilshift.gateway.limits import LimitBook
+from anvilshift.gateway.limits import RateLimits
 from anvilshift.gateway.messages import Begun, Ended, Held, Sent
 from anvilshift.gateway.peers import Peers
 from anvilshift.wire.client import ExchangeError, HttpClient, Response
@@ -104,7 +104,7 @@
     peers: Peers
     clock: Clock
     journal: Journal
-    limits: LimitBook
+    limits: RateLimits
     _logged_fields: set[str] = field(default_factory=set)
 
     @contextlib.asynccontextmanager
@@ -163,9 +163,9 @@
             return
         name = outgoing.choice.target.info.name
         if notes.signed or notes.limit is not None:
-            self.limits.note_answer(name, notes.limit, sent, outgoing.identity)
+            self.limits.apply_answer(name, notes.limit, sent, outgoing.identity)
         if notes.not_run and notes.pause:
-            self.limits.note_refusal(name, notes.pause, outgoing.identity)
+            self.limits.record_refusal(name, notes.pause, outgoing.identity)
 
     def _exchange(
         self, outgoing: Outgoing
@@ -216,7 +216,7 @@
         )
         if shared_parts and is_newly_cached and not self.peers.small:
             info = choice.target.info
-            self.peers.tell_far(Held(info.name, shared_parts), info.failure_domain)
+            self.peers.send_far(Held(info.name, shared_parts), info.failure_domain)
 
     def record_first_byte(self, outgoing: Outgoing) -> None:
         """Record that the target began to answer, and tell the other routers."""
@@ -241,7 +241,7 @@
             self.peers.tell(message)
         elif outgoing.capacity:
             domain = outgoing.choice.target.info.failure_domain
-            self.peers.tell_near(message, domain, soon=isinstance(message, Sent))
+            self.peers.send_near(message, domain, soon=isinstance(message, Sent))
 
 
 def _check_answer(outgoing: Outgoing, notes: Notes) -> None:
--- a/anvilshift/gateway/conversation.py
+++ b/anvilshift/gateway/conversation.py
@@ -4,13 +4,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
+from anvilshift.core.allocators import AllocatorMap
 from anvilshift.core.clock import Clock
-from anvilshift.core.keepers import KeeperMap
 from anvilshift.core.loadmap import LoadMap, Prompt
 from anvilshift.core.retention import Mark, MarkLog
-from anvilshift.gateway.allotting import Allotter
 from anvilshift.gateway.journal import Journal
-from anvilshift.gateway.limits import LimitBook
+from anvilshift.gateway.limits import RateLimits
 from anvilshift.gateway.messages import (
     Ask,
     Beat,
@@ -36,6 +35,7 @@
 from anvilshift.gateway.reserving import Reservations
 from anvilshift.gateway.settings import GatewaySettings
 from anvilshift.gateway.shared import Shared
+from anvilshift.gateway.shares import ShareManager
 
 _FAREWELL_COPIES = 3
 """Copies of the final message: its datagram may be lost, and a router that has stopped
@@ -57,12 +57,12 @@
     incarnation: str
     peers: Peers
     loads: LoadMap
-    allotter: Allotter
+    allotter: ShareManager
     reservations: Reservations
-    keepers: KeeperMap
+    allocators: AllocatorMap
     marks: MarkLog
     shared: Shared
-    limits: LimitBook
+    limits: RateLimits
     clock: Clock
     journal: Journal
     is_ready: Callable[[], bool]
@@ -97,14 +97,14 @@
         leaving = {one.beat.router for one in peers if one.beat.leaving}
         self.limits.note_routers(names, leaving)
         self.allotter.alone = not peers
-        known = self.keepers.routers
-        if names and self.keepers.set_routers(names):
-            self.allotter.wallet.set_keepers(self.keepers)
+        known = self.allocators.routers
+        if names and self.allocators.set_routers(names):
+            self.allotter.wallet.set_keepers(self.allocators)
             if names - known:
                 self.allotter.found_at = self.clock.now()
 
     def ask_for_tokens(
-        self, keeper: str, number: int, organisation: str, tokens: int
+        self, allocator: str, number: int, organisation: str, tokens: int
     ) -> bool:
         """Ask a keeper for tokens.
 
@@ -113,10 +113,10 @@
         bool
             Whether the request was sent; False if the keeper is not present.
         """
-        peer = self.peers.routers.get(keeper)
+        peer = self.peers.routers.get(allocator)
         if peer is None:
             return False
-        keeping = self.keepers.is_keeper(organisation)
+        keeping = self.allocators.is_keeper(organisation)
         ip = self.settings.ip
         ask = Ask(self.incarnation, number, ip, organisation, tokens, keeping)
         self.peers.send(ask, peer.beat.ip)
@@ -129,7 +129,7 @@
 
     def _find_keeper(self, organisation: str) -> tuple[str, str] | None:
         """Return the incarnation and address of a keeper that is present."""
-        for name in self.keepers.list_others(organisation):
+        for name in self.allocators.list_others(organisation):
             peer = self.peers.routers.get(name)
             if peer is not None:
                 return peer.beat.incarnation, peer.beat.ip
@@ -141,7 +141,7 @@
         task.add_done_callback(self._lending_tasks.discard)
 
     async def _lend_tokens(self, ask: Ask) -> None:
-        answer = await self.reservations.lend(ask)
+        answer = await self.reservations.answer_ask(ask)
         if answer is not None:
             self.peers.send(answer, ask.ip)
 
@@ -174,23 +174,23 @@
         elif isinstance(message, Ask):
             self._handle_ask(message)
         elif isinstance(message, Gift):
-            self.reservations.take_gift(message)
+            self.reservations.apply_gift(message)
         elif isinstance(message, Lack):
-            self.reservations.take_lack(message)
+            self.reservations.apply_lack(message)
         elif isinstance(message, Farewell):
-            self.allotter.note_ended(message.holder, dict(message.spent))
+            self.allotter.record_ended(message.holder, dict(message.spent))
         elif isinstance(message, Limited):
-            self.limits.hear_limit(message)
+            self.limits.apply_limit(message)
         elif isinstance(message, Paused):
-            self.limits.hear_pause(message)
+            self.limits.apply_pause(message)
         elif isinstance(message, PermitAsk):
-            self.shared.permits.hear_ask(message)
+            self.shared.permits.handle_ask(message)
         elif isinstance(message, PermitAnswer):
-            self.shared.permits.hear_answer(message)
+            self.shared.permits.handle_answer(message)
         elif isinstance(message, PermitDropped):
-            self.shared.permits.hear_dropped(message)
+            self.shared.permits.handle_withdrawal(message)
         elif isinstance(message, SentBefore):
-            self.limits.hear_sends(message)
+            self.limits.add_sends(message)
         elif isinstance(message, Marked):
             for revision, age in message.marks:
                 self.marks.add(Mark(now - age, revision))
@@ -244,7 +244,7 @@
 
     def handle_router_loss(self, peer: Peer) -> None:
         """Remove the runs of a router that is lost."""
-        self.loads.forget_runs(f"{peer.beat.incarnation}/")
+        self.loads.remove_runs(f"{peer.beat.incarnation}/")
 
     def handle_replaced_target(self, name: str) -> None:
         """Stop using a target whose address another target has taken over.
--- a/anvilshift/gateway/crashes.py
+++ b/anvilshift/gateway/crashes.py
@@ -6,7 +6,7 @@
 
 import hashlib
 
-from anvilshift.core.blame import CRASHES
+from anvilshift.core.blame import MAX_CRASHES
 from anvilshift.core.clock import Millis
 from anvilshift.core.errors import QUARANTINED, AnvilshiftError
 from anvilshift.core.homes import choose_homes
@@ -68,11 +68,11 @@
         if exposure.is_harmless(self._content):
             return set()
         domains = loads.list_domains(service, self._shared.clock.now())
-        homes = choose_homes(self._get_home_key(prompt), domains, CRASHES)
-        reached = exposure.list_reached(self._content)
+        homes = choose_homes(self._get_home_key(prompt), domains, MAX_CRASHES)
+        reached = exposure.list_charged_targets(self._content)
         allowed = [*reached, *(name for name in homes if name not in reached)]
-        present = {target.info.name for target in loads.of_service(service)}
-        return present - set(allowed[: max(CRASHES, len(reached))])
+        present = {target.info.name for target in loads.list_service_targets(service)}
+        return present - set(allowed[: max(MAX_CRASHES, len(reached))])
 
     def _get_home_key(self, prompt: Prompt) -> str:
         """Return the key from which the content's home targets are computed.
@@ -109,9 +109,9 @@
         """
         shared, info = self._shared, target.info
         if error.replaced:
-            shared.note_replaced(info.name)
+            shared.on_target_replaced(info.name)
         elif error.failure is Failure.NOT_SENT:
-            shared.note_lost(info.name)
+            shared.on_target_lost(info.name)
         elif error.failure is Failure.BROKE_OFF and not error.answered:
             now = shared.clock.now()
             for name in self._blame.broke(self._content, info.name, now):
@@ -123,8 +123,8 @@
         shared = self._shared
         known = shared.sender.loads.targets.get(name)
         if known is None:
-            shared.note_lost(name)
+            shared.on_target_lost(name)
             return
         address = Address.parse(known.info.address)
         if not await shared.sender.client.check(address, _CONNECT_TIMEOUT):
-            shared.note_lost(name)
+            shared.on_target_lost(name)
--- a/anvilshift/gateway/following.py
+++ b/anvilshift/gateway/following.py
@@ -30,7 +30,7 @@
 _MAX_STRETCH = 2.7
 
 
-def find_stretch(routers: int) -> float:
+def find_interval_factor(routers: int) -> float:
     """Return the factor by which watches and rests are longer in a larger fleet.
 
     Each call is priced, and the store's rate grows more slowly than the fleet.  A
@@ -39,7 +39,7 @@
 
     Examples
     --------
-    >>> find_stretch(4), find_stretch(6), find_stretch(2_000)
+    >>> find_interval_factor(4), find_interval_factor(6), find_interval_factor(2_000)
     (1.0, 1.5, 2.7)
     """
     return min(max(1.0, routers / _UNSTRETCHED_ROUTERS), _MAX_STRETCH)
@@ -80,7 +80,7 @@
     seen
         When the store last answered.
     stretch
-        Factor on the durations, see `find_stretch`.
+        Factor on the durations, see `find_interval_factor`.
     """
 
     store: ObjectStore
--- a/anvilshift/gateway/limits.py
+++ b/anvilshift/gateway/limits.py
@@ -10,7 +10,7 @@
 
 from anvilshift.core.clock import SECOND, Clock, Millis
 from anvilshift.core.loadmap import LoadMap, TargetLoad
-from anvilshift.core.permits import Attendance
+from anvilshift.core.permits import RouterPresence
 from anvilshift.core.ratelimits import SPAN, RateLimit, learn
 from anvilshift.gateway.journal import Journal
 from anvilshift.gateway.messages import Limited, Paused, SentBefore
@@ -29,7 +29,7 @@
 
 
 @dataclass
-class LimitHooks:
+class LimitCallbacks:
     """Callbacks for targets whose limit (`change`) or issuer (`move`) has changed."""
 
     change: Callable[[str], None] = _do_nothing
@@ -37,7 +37,7 @@
 
 
 @dataclass
-class LimitBook:
+class RateLimits:
     """The limits and issuers of all targets as one router knows them.
 
     Parameters
@@ -52,15 +52,15 @@
     peers: Peers
     clock: Clock
     journal: Journal
-    attendance: Attendance = field(default_factory=Attendance)
-    hooks: LimitHooks = field(default_factory=LimitHooks)
+    attendance: RouterPresence = field(default_factory=RouterPresence)
+    hooks: LimitCallbacks = field(default_factory=LimitCallbacks)
 
     def __post_init__(self) -> None:
         self.attendance.note({self.own}, (), self.clock.now())
 
     # Limits and pauses announced by targets
 
-    def note_answer(
+    def apply_answer(
         self, name: str, named: float | None, sent: Millis, identity: str
     ) -> None:
         """Apply the limit announced in a target's answer.
@@ -82,7 +82,7 @@
         limit = learn(known, named, sent, self.clock.now())
         if limit is None or limit is known:
             return
-        if limit.is_news(known):
+        if limit.differs_significantly(known):
             self._apply_limit(target, limit, id=identity)
             self.peers.tell(self.describe(target, limit))
             return
@@ -96,7 +96,7 @@
         """Put a limit in force, and log it if it differs enough from the known one."""
         known, now = target.limit, self.clock.now()
         target.limit = limit
-        if not limit.is_news(known):
+        if not limit.differs_significantly(known):
             return
         self.journal.write(
             "limit_named" if limit.ended is None else "limit_ended",
@@ -112,7 +112,7 @@
             self._report_sends(target)
         self.hooks.change(target.info.name)
 
-    def note_refusal(self, name: str, pause: Millis, identity: str) -> None:
+    def record_refusal(self, name: str, pause: Millis, identity: str) -> None:
         """Record that a target refused a request, and pause it for a time."""
         target = self.loads.targets.get(name)
         if target is None:
@@ -122,7 +122,7 @@
         self._pause(target, wait)
         self.peers.tell(Paused(name, target.info.born, wait))
 
-    def hear_pause(self, message: Paused) -> None:
+    def apply_pause(self, message: Paused) -> None:
         """Apply a pause that a target announced to another router."""
         target = self.loads.targets.get(message.target)
         if target is not None and target.info.born == message.born:
@@ -131,7 +131,7 @@
     def _pause(self, target: TargetLoad, wait: Millis) -> None:
         target.paused_until = max(target.paused_until, self.clock.now() + wait)
 
-    def hear_limit(self, message: Limited) -> None:
+    def apply_limit(self, message: Limited) -> None:
         """Apply a limit that a target announced to another router."""
         target = self.loads.targets.get(message.target)
         if target is None or target.info.born != message.born:
@@ -190,7 +190,7 @@
         rate = target.find_rate(now)
         return None if rate is None else rate * self.attendance.find_part(now)
 
-    def end_over(self, now: Millis) -> None:
+    def remove_expired(self, now: Millis) -> None:
         """Remove limits that have expired."""
         for name, target in self.loads.targets.items():
             if target.limit is not None and target.find_rate(now) is None:
@@ -218,7 +218,7 @@
             part = tuple(runs[first : first + _MAX_LISTED_SENDS])
             self.peers.send(SentBefore(target.info.name, target.info.born, part), ip)
 
-    def hear_sends(self, message: SentBefore) -> None:
+    def add_sends(self, message: SentBefore) -> None:
         """Count what another router sent before this one issued the permits."""
         target = self.loads.targets.get(message.target)
         if target is not None and target.info.born == message.born:
--- a/anvilshift/gateway/node.py
+++ b/anvilshift/gateway/node.py
@@ -5,24 +5,22 @@
 import time
 from dataclasses import dataclass, replace
 
+from anvilshift.core.allocators import AllocatorMap
 from anvilshift.core.clock import SECOND, Clock, Millis
 from anvilshift.core.ejection import Health, State
-from anvilshift.core.entrances import Entrance, choose_entrances
-from anvilshift.core.errors import AnvilshiftError, Fate
+from anvilshift.core.endpoints import Endpoint, choose_endpoints
+from anvilshift.core.errors import AnvilshiftError, ExecutionState
 from anvilshift.core.identity import make_identity
-from anvilshift.core.keepers import KeeperMap
 from anvilshift.core.loadmap import LoadMap
 from anvilshift.core.retention import MarkLog
 from anvilshift.core.retries import RetryBudget
 from anvilshift.core.routing import Configuration, RouteTable
-from anvilshift.gateway.allotting import Allotter
 from anvilshift.gateway.attempts import Sender
 from anvilshift.gateway.border import Dialect
 from anvilshift.gateway.conversation import PeerMessenger
-from anvilshift.gateway.following import Follower, Pace, find_stretch
-from anvilshift.gateway.intake import TargetIntake
+from anvilshift.gateway.following import Follower, Pace, find_interval_factor
 from anvilshift.gateway.journal import Journal
-from anvilshift.gateway.limits import LimitBook
+from anvilshift.gateway.limits import RateLimits
 from anvilshift.gateway.passing import RequestHandler
 from anvilshift.gateway.peers import Hooks, Peers
 from anvilshift.gateway.permits import Permits
@@ -30,6 +28,8 @@
 from anvilshift.gateway.reserving import Reservations
 from anvilshift.gateway.settings import GatewaySettings
 from anvilshift.gateway.shared import Shared
+from anvilshift.gateway.shares import ShareManager
+from anvilshift.gateway.targetregistry import TargetRegistry
 from anvilshift.objects.store import Change, ObjectStore
 from anvilshift.wire.client import HttpClient
 from anvilshift.wire.messages import HttpRequest, Limits
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True)
-class Entrances:
+class Endpoints:
     """The addresses that callers may connect to, and how long they may cache them."""
 
     addresses: tuple[str, ...]
@@ -99,7 +99,9 @@
             journal,
         )
         self.peers.addresses = {ip for ip in settings.seeds if ip != settings.ip}
-        self.allotter = Allotter(store, settings.name, self.incarnation, clock, journal)
+        self.allotter = ShareManager(
+            store, settings.name, self.incarnation, clock, journal
+        )
         self.marks = MarkLog(settings.history or 0.0)
         self.recorder = Recorder(
             store,
@@ -111,15 +113,15 @@
             self.allotter.wallet,
             self.marks,
         )
-        self.keepers = KeeperMap(settings.name)
-        self.reservations = Reservations(self.allotter, self.keepers, clock, journal)
+        self.allocators = AllocatorMap(settings.name)
+        self.reservations = Reservations(self.allotter, self.allocators, clock, journal)
         if settings.history is not None:
             self.recorder.born = born
-            self.allotter.settle_former = self.recorder.settle_former
+            self.allotter.bound_former_use = self.recorder.bound_former_use
             self.recorder.end_record = self.allotter.end_round
             self.reservations.recorder = self.recorder
         self.client = HttpClient()
-        self.limits = LimitBook(
+        self.limits = RateLimits(
             settings.name, self.incarnation, self.loads, self.peers, clock, journal
         )
         self.permits = Permits(
@@ -141,7 +143,7 @@
             RetryBudget(settings.find_retry_reserve(1)),
         )
         self.messenger = self._make_messenger()
-        self.targets = TargetIntake(
+        self.targets = TargetRegistry(
             dialect,
             self.loads,
             self.client,
@@ -181,7 +183,7 @@
             self.loads,
             self.allotter,
             self.reservations,
-            self.keepers,
+            self.allocators,
             self.marks,
             self.shared,
             self.limits,
@@ -198,9 +200,9 @@
             messenger.send_known_state,
         )
         self.reservations.ask = messenger.ask_for_tokens
-        self.recorder.tell_mark = messenger.send_mark
-        self.shared.note_lost = messenger.handle_lost_target
-        self.shared.note_replaced = messenger.handle_replaced_target
+        self.recorder.on_new_mark = messenger.send_mark
+        self.shared.on_target_lost = messenger.handle_lost_target
+        self.shared.on_target_replaced = messenger.handle_replaced_target
         return messenger
 
     # The configuration
@@ -223,7 +225,7 @@
         organisations = configuration.organisations
         totals = {name: one.reserved for name, one in organisations.items()}
         self.allotter.configure(configuration.version, totals)
-        self.allotter.wallet.set_keepers(self.keepers)
+        self.allotter.wallet.set_keepers(self.allocators)
         self.reservations.forget_refusals()
         limits = configuration.limits
         self.server.limits = Limits(
@@ -246,17 +248,17 @@
         """Return whether callers should open new connections to this router."""
         return self.shared.table is not None and not self.leaving
 
-    def list_entrances(self, domain: str = "") -> Entrances:
+    def list_endpoints(self, domain: str = "") -> Endpoints:
         """Return the addresses to which callers of a failure domain may connect."""
         found = [
-            Entrance(peer.beat.entrance, peer.beat.failure_domain)
+            Endpoint(peer.beat.entrance, peer.beat.failure_domain)
             for peer in self.peers.list_present()
             if peer.beat.serving and not peer.beat.leaving
         ]
         if self.is_ready():
-            own = Entrance(str(self.settings.front), self.settings.failure_domain)
+            own = Endpoint(str(self.settings.front), self.settings.failure_domain)
             found.append(own)
-        return Entrances(choose_entrances(found, domain), self._get_address_ttl())
+        return Endpoints(choose_endpoints(found, domain), self._get_address_ttl())
 
     def _get_address_ttl(self) -> Millis:
         return _ADDRESS_TTL if self.peers.small else _ADDRESS_TTL_LARGE_FLEET
@@ -278,7 +280,7 @@
             return
         reply = render_error(error)
         headers = [(n, v) for n, v in reply.headers if n != "retry-after"]
-        if error.retry_after is not None and error.code.fate is Fate.NOT_RUN:
+        if error.retry_after is not None and error.code.fate is ExecutionState.NOT_RUN:
             headers.append(("retry-after", f"{error.retry_after / SECOND:.3f}"))
         try:
             await responder.send(replace(reply, headers=headers))
@@ -338,7 +340,7 @@
         for target in self.loads.targets.values():
             # Connections that broke meanwhile are no evidence of unhealthy targets.
             target.health = Health()
-        self.permits.note_lapse()
+        self.permits.handle_suspension()
         self.configuration_follower.restart()
         self.target_follower.restart()
 
@@ -350,9 +352,9 @@
         routers = 1 + len(self.peers.list_present())
         self.shared.retries.limit(self.settings.find_retry_reserve(routers))
         for follower in (self.configuration_follower, self.target_follower):
-            follower.stretch = find_stretch(routers)
-        self.recorder.routers = self.keepers.count_recording()
-        self.allotter.wallet.set_provable(self.recorder.is_provable())
+            follower.stretch = find_interval_factor(routers)
+        self.recorder.routers = self.allocators.count_allocators()
+        self.allotter.wallet.set_provable(self.recorder.can_prove_age())
         self.messenger.return_unused_tokens()
         self.loads.expire(now)
         self.permits.sweep(now)
--- a/anvilshift/gateway/passing.py
+++ b/anvilshift/gateway/passing.py
@@ -9,7 +9,7 @@
 from collections.abc import Awaitable
 from functools import partial
 
-from anvilshift.core.choosing import Choice, Demand, choose_engine, choose_plain
+from anvilshift.core.choosing import Choice, Demand, choose_engine, choose_plain_target
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.ejection import State
 from anvilshift.core.errors import (
@@ -24,22 +24,28 @@
     Code,
 )
 from anvilshift.core.loadmap import Prompt
-from anvilshift.core.patience import (
-    NO_ENGINE_RETURN,
-    bound_silence,
-    bound_try,
-    count_left,
+from anvilshift.core.routing import (
+    ModelLimits,
+    OrganisationBudget,
+    RequestKind,
+    RouteTable,
+    Rule,
+)
+from anvilshift.core.timeouts import (
+    NO_ENGINE_RETRY,
+    bound_abandoned_tokens,
+    find_attempt_timeout,
+    find_pause_timeout,
     find_return,
     rank,
 )
-from anvilshift.core.routing import ModelFigures, RequestKind, RouteTable, Rule, Tenancy
 from anvilshift.core.work import Failure
 from anvilshift.gateway.attempts import Answer, AttemptError, Outgoing
 from anvilshift.gateway.border import Call, Delivery
 from anvilshift.gateway.crashes import CrashTracker, digest_request
+from anvilshift.gateway.permitsession import PermitSession
 from anvilshift.gateway.relaying import COMPLETE, AnswerRelay
 from anvilshift.gateway.shared import Shared
-from anvilshift.gateway.turns import Turn
 from anvilshift.wire.messages import HttpRequest
 from anvilshift.wire.server import CallerGoneError, Responder
 
@@ -66,7 +72,7 @@
         self.request = request
         self.arrived = shared.clock.now()
         self.end = self.arrived
-        self.payer: Tenancy | None = None
+        self.payer: OrganisationBudget | None = None
         self.may_have_run = False
         self.targets = 0
         self.failed_targets: set[str] = set()
@@ -89,7 +95,7 @@
         """
         call = self.shared.dialect.read_call(self.request)
         self.call = call
-        self.turn = Turn(self.shared, call.identity, self.arrived)
+        self.turn = PermitSession(self.shared, call.identity, self.arrived)
         try:
             await self._serve(call)
         except AnvilshiftError as error:
@@ -126,7 +132,7 @@
     async def _serve(self, call: Call) -> None:
         table = self.shared.table
         if table is None:
-            raise AnvilshiftError(NOT_READY, retry_after=NO_ENGINE_RETURN)
+            raise AnvilshiftError(NOT_READY, retry_after=NO_ENGINE_RETRY)
         rule = table.find(call.host, self.request.path)
         if rule is None:
             raise AnvilshiftError(UNKNOWN_ROUTE)
@@ -140,8 +146,8 @@
         self.end = self.arrived + min(patience, rule.timeout)
         self.service = rule.draw_service(self.shared.rng)
         service = table.configuration.services.get(self.service)
-        self.model: ModelFigures | None = service.model if service else None
-        self.pause = table.find_pause(self.service)
+        self.model: ModelLimits | None = service.model if service else None
+        self.pause = table.find_pause_objective(self.service)
         if self.model is None:
             await self._run_until_deadline(self._attempt_until_answered())
         else:
@@ -149,7 +155,7 @@
 
     def _authenticate(
         self, table: RouteTable, call: Call, rule: Rule
-    ) -> Tenancy | None:
+    ) -> OrganisationBudget | None:
         if not table.configuration.organisations:
             return None
         found = table.find_organisation(call.credential) if call.credential else None
@@ -157,15 +163,15 @@
             raise AnvilshiftError(UNAUTHENTICATED)
         return found
 
-    async def _serve_prepaid(self, prompt: Prompt, model: ModelFigures) -> None:
+    async def _serve_prepaid(self, prompt: Prompt, model: ModelLimits) -> None:
         """Answer a model request, with tokens reserved in its organisation's budget."""
-        self.shared.check_staying()
+        self.shared.check_accepting_streams()
         reservations, payer = self.shared.reservations, self.payer
         if payer is None:
             await self._run_until_deadline(self._attempt_until_answered())
             return
         key = f"{self.call.identity}/{self.shared.runs}"
-        most = prompt.tokens + prompt.most_answer + model.tokens_an_event
+        most = prompt.tokens + prompt.most_answer + model.tokens_per_event
         await reservations.reserve(payer.name, key, most, self.end)
         try:
             await self._run_until_deadline(self._attempt_until_answered())
@@ -173,20 +179,22 @@
             self.tokens = self._count_tokens(prompt, model)
             reservations.settle(payer.name, key, self.tokens)
 
-    def _count_tokens(self, prompt: Prompt, model: ModelFigures) -> int:
+    def _count_tokens(self, prompt: Prompt, model: ModelLimits) -> int:
         """Return an upper bound on the tokens that the request used."""
         if not self.may_have_run:
             return 0
-        most = prompt.tokens + prompt.most_answer + model.tokens_an_event
+        most = prompt.tokens + prompt.most_answer + model.tokens_per_event
         if self.relay.outcome == COMPLETE:
-            generated = self.relay.events * model.tokens_an_event
+            generated = self.relay.events * model.tokens_per_event
             return prompt.tokens + min(generated, prompt.most_answer)
         if self.relay.broken or self.rule.kind is not RequestKind.STREAMING:
             # An engine may have generated an answer that was lost in transit.  If
             # only the received events were counted, a nearly used up budget would be
             # overspent.
             return most
-        return count_left(prompt.tokens, self.relay.events, model.tokens_an_event, most)
+        return bound_abandoned_tokens(
+            prompt.tokens, self.relay.events, model.tokens_per_event, most
+        )
 
     async def _run_until_deadline(self, work: Awaitable[None]) -> None:
         """Await the work, and end the request when its deadline passes.
@@ -245,25 +253,25 @@
                 self.model.cache_tokens,
                 shared.domain,
                 self.rule.objective - (now - self.arrived),
-                self.model.tokens_an_event,
+                self.model.tokens_per_event,
                 self.pause,
                 len(self.request.body) / 1_000,
                 self.model.fetch_per_token,
-                self.turn.list_turns(),
+                self.turn.list_permit_delays(),
             )
             choice = choose_engine(
                 shared.sender.loads, demand, now, shared.rng, excluded
             )
         else:
-            choice = choose_plain(
+            choice = choose_plain_target(
                 shared.sender.loads,
                 self.service,
                 shared.domain,
-                shared.mean_work(self.service).value,
+                shared.find_service_time(self.service).value,
                 shared.rng,
                 now,
                 excluded,
-                self.turn.list_turns(),
+                self.turn.list_permit_delays(),
             )
         if choice is None:
             turn = self.turn.find_return()
@@ -272,14 +280,14 @@
                     OVERLOADED, turn, "no permit is expected before the deadline"
                 )
             raise self._make_final_error(
-                NO_ENGINE, NO_ENGINE_RETURN, "no target is available"
+                NO_ENGINE, NO_ENGINE_RETRY, "no target is available"
             )
         return choice
 
     def _check_predicted_wait(self, choice: Choice) -> None:
         """Refuse a request at once if its predicted wait exceeds the time left."""
         left = self.end - self.shared.clock.now()
-        wait = choice.whole_wait
+        wait = choice.total_wait
         if wait > left and not self.may_have_run:
             detail = f"a wait of {wait:.0f} ms is predicted"
             raise self._make_final_error(OVERLOADED, wait - left, detail)
@@ -324,7 +332,9 @@
         # A target that accepts no connection is ejected at once; otherwise the next
         # request would fail there as well.
         unreachable = failure is Failure.NOT_SENT
-        if health.state is not State.EJECTED and (unreachable or health.is_bad(0.0)):
+        if health.state is not State.EJECTED and (
+            unreachable or health.should_eject(0.0)
+        ):
             health.eject(now, self.shared.rng)
             name = choice.target.info.name
             self.shared.journal.write("target_ejected", target=name, until=health.until)
@@ -344,13 +354,13 @@
             if self.relay.started:
                 raise AnvilshiftError(ENGINE_FAILED, "the retry budget is used up")
             raise self._make_final_error(
-                NO_ENGINE, NO_ENGINE_RETURN, "the retry budget is used up"
+                NO_ENGINE, NO_ENGINE_RETRY, "the retry budget is used up"
             )
 
     def _compute_rank(self, choice: Choice) -> int:
         """Return the request's rank among those that wait for a permit."""
         elapsed = self.shared.clock.now() - self.arrived
-        return rank(self.rule, elapsed, choice.whole_wait)
+        return rank(self.rule, elapsed, choice.total_wait)
 
     async def _attempt(self, choice: Choice, run: str) -> bool:
         shared = self.shared
@@ -396,11 +406,11 @@
         """Return the attempt's timeout in seconds; None if no retry may follow it."""
         if not self._may_go_on():
             return None
-        return bound_try(self.rule, choice.wait, left) / SECOND
+        return find_attempt_timeout(self.rule, choice.wait, left) / SECOND
 
     def _may_go_on(self) -> bool:
         """Return whether the request may be run at a further target."""
-        return self.rule.repeatable and self.targets < self.rule.most_targets
+        return self.rule.repeatable and self.targets < self.rule.max_targets_per_request
 
     def _make_delivery(self, choice: Choice, left: Millis) -> Delivery:
         elapsed = self.shared.clock.now() - self.arrived
@@ -424,7 +434,7 @@
             detail = "the answer is unsigned"
             raise AttemptError(Failure.BROKE_OFF, detail, answered=True)
         if success and self.rule.kind is RequestKind.STREAMING:
-            max_silence = bound_silence(self.rule) if self._may_go_on() else None
+            max_silence = find_pause_timeout(self.rule) if self._may_go_on() else None
             on_first_event = partial(self._record_first_byte, outgoing)
             await self.relay.stream(answer, timeout, max_silence, on_first_event)
             return
@@ -436,7 +446,7 @@
             raise AttemptError(Failure.BROKE_OFF, detail, answered=True)
         if self.model is None:
             took = self.shared.clock.now() - self.arrived
-            self.shared.mean_work(self.service).add(took)
+            self.shared.find_service_time(self.service).add(took)
         await self.relay.send_complete(answer, body)
 
     def _record_first_byte(self, outgoing: Outgoing) -> None:
--- a/anvilshift/gateway/peers.py
+++ b/anvilshift/gateway/peers.py
@@ -176,7 +176,7 @@
         """Tell whether the fleet is small enough to send every message to all."""
         return len(self.routers) < SMALL_FLEET
 
-    def tell_near(self, message: Message, domain: str, soon: bool = True) -> None:
+    def send_near(self, message: Message, domain: str, soon: bool = True) -> None:
         """Send a message to the routers that send most work to a failure domain.
 
         These are the routers of that domain and of this router's own domain.
@@ -189,8 +189,8 @@
         """
         self._enqueue(message, frozenset({domain, self.domain}), soon)
 
-    def tell_far(self, message: Message, domain: str) -> None:
-        """Send a message that isn't urgent to the routers that `tell_near` omits."""
+    def send_far(self, message: Message, domain: str) -> None:
+        """Send a message that isn't urgent to the routers that `send_near` omits."""
         domains = {peer.beat.failure_domain for peer in self.routers.values()}
         far = frozenset(domains - {domain, self.domain})
         if far:
--- a/anvilshift/gateway/permits.py
+++ b/anvilshift/gateway/permits.py
@@ -9,9 +9,9 @@
 
 from anvilshift.core.clock import SECOND, Clock, Millis
 from anvilshift.core.loadmap import LoadMap, TargetLoad
-from anvilshift.core.permits import TAKEOVER, Bid, PermitDesk, State, Verdict
+from anvilshift.core.permits import TAKEOVER_DELAY, Bid, PermitQueue, State, Verdict
 from anvilshift.gateway.journal import Journal
-from anvilshift.gateway.limits import LimitBook, LimitHooks
+from anvilshift.gateway.limits import LimitCallbacks, RateLimits
 from anvilshift.gateway.messages import PermitAnswer, PermitAsk, PermitDropped
 from anvilshift.gateway.peers import Peers
 
@@ -89,24 +89,24 @@
         Address at which this router receives messages.
     """
 
-    book: LimitBook
+    book: RateLimits
     ip: str
     loads: LoadMap
     peers: Peers
     clock: Clock
     journal: Journal
-    _desks: dict[str, PermitDesk] = field(default_factory=dict)
+    _desks: dict[str, PermitQueue] = field(default_factory=dict)
     _askers: dict[str, str] = field(default_factory=dict)
     _pending: dict[str, _PendingAsk] = field(default_factory=dict)
     _timers: dict[str, asyncio.TimerHandle] = field(default_factory=dict)
     _reported_at: Millis = 0.0
 
     def __post_init__(self) -> None:
-        self.book.hooks = LimitHooks(self._serve, self._close_desk)
+        self.book.hooks = LimitCallbacks(self._serve, self._close_desk)
 
-    def note_lapse(self) -> None:
+    def handle_suspension(self) -> None:
         """Issue no permits for a while after this process was suspended."""
-        opens = self.clock.now() + TAKEOVER
+        opens = self.clock.now() + TAKEOVER_DELAY
         for desk in self._desks.values():
             desk.opens = opens
 
@@ -195,11 +195,11 @@
         issuer = self.book.find_issuer(name)
         ip = self.book.find_ip(issuer)
         if issuer == self.book.own:
-            self.hear_dropped(PermitDropped(run, name))
+            self.handle_withdrawal(PermitDropped(run, name))
         elif ip is not None:
             self.peers.send(PermitDropped(run, name), ip)
 
-    def hear_answer(self, answer: PermitAnswer) -> None:
+    def handle_answer(self, answer: PermitAnswer) -> None:
         """Pass the issuer's answer to the request that waits for it."""
         pending = self._pending.get(answer.run)
         if pending is None:
@@ -211,14 +211,14 @@
 
     # Requests of all routers, at the issuer
 
-    def hear_ask(self, ask: PermitAsk) -> None:
+    def handle_ask(self, ask: PermitAsk) -> None:
         """Answer another router's ask."""
         if self.book.find_issuer(ask.target) != self.book.own:
             return
         self._askers[ask.run] = ask.ip
         self._decide(ask)
 
-    def hear_dropped(self, message: PermitDropped) -> None:
+    def handle_withdrawal(self, message: PermitDropped) -> None:
         """Remove the bid of a request that no longer waits."""
         desk = self._desks.get(message.target)
         if desk is not None:
@@ -242,11 +242,11 @@
         self._answer(desk.ask(bid, self.book.find_rate(target), now))
         self._set_timer(ask.target)
 
-    def _find_desk(self, target: TargetLoad) -> PermitDesk:
+    def _find_desk(self, target: TargetLoad) -> PermitQueue:
         name = target.info.name
         desk = self._desks.get(name)
         if desk is None or not desk.is_of(target.meter):
-            desk = PermitDesk(target.meter, self.clock.now() + TAKEOVER)
+            desk = PermitQueue(target.meter, self.clock.now() + TAKEOVER_DELAY)
             self._desks[name] = desk
         return desk
 
@@ -293,7 +293,7 @@
 
     def sweep(self, now: Millis) -> None:
         """Remove expired limits and unused state; log the use of limits each second."""
-        self.book.end_over(now)
+        self.book.remove_expired(now)
         for name in list(self._desks):
             target = self.loads.targets.get(name)
             if target is None or target.limit is None:
--- a/anvilshift/gateway/turns.py
+++ b/anvilshift/gateway/permitsession.py
@@ -15,7 +15,7 @@
 remaining time, so that they aren't all sent at once."""
 
 
-class Turn:
+class PermitSession:
     """The permits of one request, and the issuers' answers to it.
 
     Attributes
@@ -44,7 +44,7 @@
         now = self._shared.clock.now()
         return max(0.0, min(self._retry_at.values()) - now) if self._retry_at else None
 
-    def list_turns(self) -> dict[str, Millis]:
+    def list_permit_delays(self) -> dict[str, Millis]:
         """Return the expected time until a permit, for targets with a queued ask."""
         now = self._shared.clock.now()
         return {name: at - now for name, at in self._permits_expected_at.items()}
--- a/anvilshift/gateway/recording.py
+++ b/anvilshift/gateway/recording.py
@@ -12,11 +12,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from anvilshift.core.balances import Balances
 from anvilshift.core.clock import SECOND, Clock, Millis
 from anvilshift.core.errors import AnvilshiftError
-from anvilshift.core.retention import SLACK, Mark, MarkLog, thin
-from anvilshift.core.usage import SPREAD_OVER, Spent, UseRecord
-from anvilshift.core.wallet import Wallet
+from anvilshift.core.retention import RETENTION_MARGIN, Mark, MarkLog, thin
+from anvilshift.core.usage import RELEASE_TIME, SpendingBounds, UseRecord
 from anvilshift.gateway.journal import Journal
 from anvilshift.objects.records import decode, encode
 from anvilshift.objects.store import ConflictError, ObjectStore
@@ -72,7 +72,7 @@
         Number of routers that write such records.
     boot
         Boot id of the host; empty where the kernel offers none.
-    tell_mark
+    on_new_mark
         Sends a mark to the other routers, for the next keeper of the tokens.
     records
         Number of completed writes, successful or failed; `end_record` is called
@@ -88,12 +88,12 @@
     holder: str
     clock: Clock
     journal: Journal
-    wallet: Wallet
+    wallet: Balances
     marks: MarkLog
     routers: int = 1
     boot: str = field(default_factory=read_boot)
     read_wall: Callable[[], Millis] = lambda: time.time() * SECOND
-    tell_mark: Callable[[Mark], None] = lambda mark: None
+    on_new_mark: Callable[[Mark], None] = lambda mark: None
     born: Millis | None = None
     records: int = 0
     end_record: Callable[[], None] = lambda: None
@@ -119,10 +119,10 @@
     def _find_period(self) -> Millis:
         return max(_PERIOD, self.routers * _PERIOD_PER_ROUTER)
 
-    def is_provable(self) -> bool:
+    def can_prove_age(self) -> bool:
         """Tell whether a successor could prove a useful bound on the record's age."""
         return bool(
-            self.marks.list_spans(self.clock.now(), SPREAD_OVER * _MAX_BOUND_FRACTION)
+            self.marks.list_bounds(self.clock.now(), RELEASE_TIME * _MAX_BOUND_FRACTION)
         )
 
     async def run(self) -> None:
@@ -132,7 +132,7 @@
                 async with asyncio.timeout(self._find_period() / SECOND):
                     await self._wake.wait()
             self._wake.clear()
-            if not self.wallet.keeps_any() and self._unanswered is None:
+            if not self.wallet.must_record_use() and self._unanswered is None:
                 continue
             pause = self._find_period() / _MAX_RECORDS
             self._write_begun_at = self.clock.now()
@@ -162,7 +162,7 @@
     def _make_record(self) -> UseRecord:
         now = self.clock.now()
         self.marks.expire(now)
-        listed = self.marks.list_spans(now, self.marks.history + SLACK)
+        listed = self.marks.list_bounds(now, self.marks.history + RETENTION_MARGIN)
         spans = thin(listed, _MIN_STEP, _MIN_STEP_FRACTION)
         return UseRecord(
             self.holder,
@@ -194,7 +194,7 @@
         self._note_success()
         self._unanswered = None
         self._version = stored.version
-        self.wallet.settle_pace(record)
+        self.wallet.confirm_record(record)
         if resent is not None:
             # The record dates from before an outage; no bound on its age can be
             # proved any more.
@@ -204,11 +204,11 @@
         # router's and up to a period older, which would make the bound longer.
         mark = Mark(self.clock.now(), stored.version - 1)
         self.marks.add(mark)
-        self.tell_mark(mark)
+        self.on_new_mark(mark)
 
     # The former process on this host
 
-    async def settle_former(self) -> tuple[str, dict[str, Spent]] | None:
+    async def bound_former_use(self) -> tuple[str, dict[str, SpendingBounds]] | None:
         """Return proved bounds on what the former process on this host spent.
 
         That process has ended, because this one runs in its place.  A process of
--- a/anvilshift/gateway/reserving.py
+++ b/anvilshift/gateway/reserving.py
@@ -8,19 +8,19 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from anvilshift.core.asking import ANSWER_WITHIN, Answer, TokenHunt
+from anvilshift.core.allocators import AllocatorMap
 from anvilshift.core.clock import SECOND, Clock, Millis
 from anvilshift.core.errors import (
     BUDGET_EXHAUSTED,
     BUDGET_UNREACHABLE,
     AnvilshiftError,
 )
-from anvilshift.core.keepers import KeeperMap
-from anvilshift.core.once import Numbers
-from anvilshift.gateway.allotting import Allotter
+from anvilshift.core.sequencenumbers import SequenceNumbers
+from anvilshift.core.tokensearch import ANSWER_TIMEOUT, Answer, TokenSearch
 from anvilshift.gateway.journal import Journal
 from anvilshift.gateway.messages import Ask, Gift, Lack
 from anvilshift.gateway.recording import Recorder
+from anvilshift.gateway.shares import ShareManager
 
 _MAX_STEP_WAIT: Millis = 40.0
 """Maximum wait for a gift or a write to the store before the search continues."""
@@ -67,8 +67,8 @@
 
     def __init__(
         self,
-        allotter: Allotter,
-        keepers: KeeperMap,
+        allotter: ShareManager,
+        allocators: AllocatorMap,
         clock: Clock,
         journal: Journal,
         ask: Callable[[str, int, str, int], bool] = lambda *ask: False,
@@ -76,17 +76,17 @@
     ) -> None:
         self.allotter = allotter
         self.wallet = allotter.wallet
-        self.keepers = keepers
+        self.allocators = allocators
         self.clock = clock
         self.journal = journal
         self.ask = ask
         self.recorder = recorder
         self._last_ask = 0
-        self._searches: dict[int, TokenHunt] = {}
+        self._searches: dict[int, TokenSearch] = {}
         self._refusals: dict[str, _Refusal] = {}
         self._answers: dict[tuple[str, int], Gift | Lack | None] = {}
         self._last_gift = 0
-        self._received: dict[str, Numbers] = {}
+        self._received: dict[str, SequenceNumbers] = {}
 
     def forget_refusals(self) -> None:
         """Forget remembered refusals, because totals may have grown."""
@@ -107,22 +107,22 @@
         """
         now = self.clock.now()
         if not self.wallet.reserve(name, key, tokens, now):
-            search = self._begin_search(self.keepers.list_others(name))
+            search = self._begin_search(self.allocators.list_others(name))
             await self._wait(name, key, tokens, min(until, now + _MAX_WAIT), search)
 
-    def _begin_search(self, keepers: Sequence[str]) -> TokenHunt:
+    def _begin_search(self, allocators: Sequence[str]) -> TokenSearch:
         records = self.recorder.records if self.recorder else 0
-        return TokenHunt(keepers, self.allotter.writes_ended, records)
+        return TokenSearch(allocators, self.allotter.writes_ended, records)
 
     async def _wait(
-        self, name: str, key: str, tokens: int, until: Millis, search: TokenHunt
+        self, name: str, key: str, tokens: int, until: Millis, search: TokenSearch
     ) -> None:
         try:
             self._check_refusals(name, key, tokens, until)
             while not self.allotter.begun and self.clock.now() < until:
                 await self._wait_round(until)
             while not await self._search(name, key, tokens, until, search):
-                search = self._begin_search(search.keepers)
+                search = self._begin_search(search.allocators)
         finally:
             self.wallet.give_up(name, key)
 
@@ -134,7 +134,7 @@
             raise self._make_refusal(name, tokens, certain, known.wait)
 
     async def _search(
-        self, name: str, key: str, tokens: int, until: Millis, search: TokenHunt
+        self, name: str, key: str, tokens: int, until: Millis, search: TokenSearch
     ) -> bool:
         """Wait until tokens are reserved; False when a new search has to begin.
 
@@ -165,7 +165,7 @@
             del self._searches[number]
         raise self._refuse(name, key, tokens, search)
 
-    async def _wait_for_keeper(self, until: Millis, search: TokenHunt) -> bool:
+    async def _wait_for_keeper(self, until: Millis, search: TokenSearch) -> bool:
         """Wait until a keeper may have the tokens; False if the deadline is sooner."""
         wait = search.find_wait()
         if wait is None and self.allotter.has_just_started():
@@ -181,15 +181,15 @@
         search, balance = self._searches[number], self.wallet.balances[name]
         if self.recorder and tokens <= balance.ready:
             self.recorder.record_soon()
-        keeper = search.find_next(now)
+        allocator = search.find_next(now)
         lacking = max(1, tokens - max(0, balance.available(now)))
-        if keeper is not None and not self.ask(keeper, number, name, lacking):
+        if allocator is not None and not self.ask(allocator, number, name, lacking):
             search.skip()
         if search.is_unanswered(now):
-            self.wallet.note_unkept(name, now)
+            self.wallet.record_missing_allocator(name, now)
         self.allotter.wake()
 
-    def _has_failed(self, name: str, tokens: int, search: TokenHunt) -> bool:
+    def _has_failed(self, name: str, tokens: int, search: TokenSearch) -> bool:
         """Tell whether no keeper, no record and no draw can provide the tokens."""
         now, balance = self.clock.now(), self.wallet.balances[name]
         if not search.is_over(now):
@@ -200,10 +200,10 @@
             return False
         if not balance.draws(now):
             return True
-        stale = self.allotter.failing or self.wallet.is_dry(name, now)
+        stale = self.allotter.failing or self.wallet.is_depleted(name, now)
         return stale or search.has_drawn(self.allotter.writes_ended)
 
-    def _may_record(self, search: TokenHunt) -> bool:
+    def _may_record(self, search: TokenSearch) -> bool:
         """Tell whether a further record may allow the ready tokens to be spent."""
         recorder = self.recorder
         if recorder is None or not recorder.is_store_answering():
@@ -218,18 +218,18 @@
 
     async def _wait_round(self, until: Millis) -> None:
         """Wait briefly for a write to the store or a gift."""
-        left = min(until - self.clock.now(), _MAX_STEP_WAIT, ANSWER_WITHIN)
+        left = min(until - self.clock.now(), _MAX_STEP_WAIT, ANSWER_TIMEOUT)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(max(_MIN_WAIT, left) / SECOND):
                 await self.allotter.wait_for_update()
 
-    def _is_certain(self, name: str, tokens: int, search: TokenHunt) -> bool:
-        if self.keepers.is_keeper(name):
+    def _is_certain(self, name: str, tokens: int, search: TokenSearch) -> bool:
+        if self.allocators.is_keeper(name):
             return self.allotter.is_exhausted(name, tokens)
         return search.is_certain()
 
     def _refuse(
-        self, name: str, key: str, tokens: int, search: TokenHunt
+        self, name: str, key: str, tokens: int, search: TokenSearch
     ) -> AnvilshiftError:
         """Return the error for a request; remember it for others as large."""
         now = self.clock.now()
@@ -269,7 +269,7 @@
 
     # Other routers' requests
 
-    async def lend(self, ask: Ask) -> Gift | Lack | None:
+    async def answer_ask(self, ask: Ask) -> Gift | Lack | None:
         """Return the answer to another router's ask; None while the search is running.
 
         Copies of an ask get the same answer: a gift for each copy would leave
@@ -303,7 +303,7 @@
                 certain = error.code is BUDGET_EXHAUSTED
                 wait = float(error.retry_after or _RETRY_DELAY)
                 return Lack(ask.holder, ask.number, name, certain, wait)
-        tokens = self.wallet.hand_over(name, key, self.clock.now())
+        tokens = self.wallet.transfer_reservation(name, key, self.clock.now())
         return self._make_gift(ask.holder, name, tokens)
 
     def _make_gift(self, holder: str, name: str, tokens: int) -> Gift:
@@ -322,23 +322,25 @@
             organisation's tokens; None if there is none.
         """
         gifts = []
-        for name, tokens in self.wallet.find_idle(self.clock.now()).items():
-            keeper = find_keeper(name)
-            if keeper is not None:
-                self.wallet.take_out(name, tokens)
-                gifts.append((self._make_gift(keeper[0], name, tokens), keeper[1]))
+        for name, tokens in self.wallet.find_returnable(self.clock.now()).items():
+            allocator = find_keeper(name)
+            if allocator is not None:
+                self.wallet.debit(name, tokens)
+                gifts.append(
+                    (self._make_gift(allocator[0], name, tokens), allocator[1])
+                )
         return gifts
 
-    def take_gift(self, gift: Gift) -> None:
+    def apply_gift(self, gift: Gift) -> None:
         """Add tokens that another router gave."""
         if gift.holder != self.allotter.holder:
             return
         # A datagram may arrive twice; a gift counted twice would cause overspending.
-        if self._received.setdefault(gift.giver, Numbers()).take(gift.number):
+        if self._received.setdefault(gift.giver, SequenceNumbers()).take(gift.number):
             self.wallet.receive(gift.organisation, gift.tokens)
             self.allotter.end_round()
 
-    def take_lack(self, lack: Lack) -> None:
+    def apply_lack(self, lack: Lack) -> None:
         """Record that a keeper can't provide what was asked for."""
         search = self._searches.get(lack.number)
         if search is not None and lack.holder == self.allotter.holder:
--- a/anvilshift/gateway/shared.py
+++ b/anvilshift/gateway/shared.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from anvilshift.core.blame import BlameBook
+from anvilshift.core.blame import CrashBlame
 from anvilshift.core.clock import Clock, Millis
 from anvilshift.core.durations import Mean
 from anvilshift.core.errors import NOT_READY, AnvilshiftError
@@ -30,7 +30,7 @@
     ----------
     domain
         This router's failure domain.
-    note_lost, note_replaced
+    on_target_lost, on_target_replaced
         Called with the name of a target that is gone, and of one whose address
         another target has taken over.
     work
@@ -52,14 +52,14 @@
     domain: str
     retries: RetryBudget
     table: RouteTable | None = None
-    blame: BlameBook = field(default_factory=BlameBook)
-    note_lost: Callable[[str], None] = lambda target: None
-    note_replaced: Callable[[str], None] = lambda target: None
+    blame: CrashBlame = field(default_factory=CrashBlame)
+    on_target_lost: Callable[[str], None] = lambda target: None
+    on_target_replaced: Callable[[str], None] = lambda target: None
     work: dict[str, Mean] = field(default_factory=dict)
     runs: int = 0
     ending: bool = False
 
-    def check_staying(self) -> None:
+    def check_accepting_streams(self) -> None:
         """Refuse a stream that a planned stop of this router would cut off.
 
         Callers with an old address answer connect until the stop.  Without the
@@ -79,6 +79,6 @@
         self.runs += 1
         return f"{self.router}/{self.runs}"
 
-    def mean_work(self, service: str) -> Mean:
+    def find_service_time(self, service: str) -> Mean:
         """Return the mean time of a plain service's requests."""
         return self.work.setdefault(service, Mean(_DEFAULT_WORK))
--- a/anvilshift/gateway/allotting.py
+++ b/anvilshift/gateway/shares.py
@@ -11,12 +11,12 @@
 from dataclasses import dataclass, field
 
 from anvilshift.core.allotments import Allotments, Totals
+from anvilshift.core.balances import FREE_KNOWN_FOR, Balances
 from anvilshift.core.clock import SECOND, Clock, Millis
 from anvilshift.core.errors import (
     AnvilshiftError,
 )
-from anvilshift.core.usage import Spent
-from anvilshift.core.wallet import FREE_KNOWN_FOR, Wallet
+from anvilshift.core.usage import SpendingBounds
 from anvilshift.gateway.journal import Journal
 from anvilshift.objects.cached import CachedObject
 from anvilshift.objects.records import decode, encode
@@ -63,7 +63,7 @@
 
 
 @dataclass
-class Allotter:
+class ShareManager:
     """Draw tokens from the shared totals and return unused ones.
 
     Parameters
@@ -73,7 +73,7 @@
         there have ended.
     holder
         Name of this incarnation.
-    settle_former
+    bound_former_use
         Returns the former incarnation of this host with bounds on what it spent.
     alone, found_at
         Whether no other router is heard, and when one was last discovered.
@@ -84,14 +84,14 @@
     holder: str
     clock: Clock
     journal: Journal
-    settle_former: Callable[[], Awaitable[tuple[str, dict[str, Spent]] | None]] = (
-        _find_no_former
-    )
+    bound_former_use: Callable[
+        [], Awaitable[tuple[str, dict[str, SpendingBounds]] | None]
+    ] = _find_no_former
     totals: Totals = field(default_factory=lambda: Totals(0))
     _wake: asyncio.Event = field(default_factory=asyncio.Event)
     _update_event: asyncio.Event = field(default_factory=asyncio.Event)
     failing: bool = False
-    ended: dict[str, dict[str, Spent]] = field(default_factory=dict)
+    ended: dict[str, dict[str, SpendingBounds]] = field(default_factory=dict)
     writes_ended: int = 0
     alone: bool = True
     found_at: Millis = -1e12
@@ -99,7 +99,7 @@
     _updated_at: Millis = -1e12
 
     def __post_init__(self) -> None:
-        self.wallet = Wallet(self.holder)
+        self.wallet = Balances(self.holder)
         self._object = CachedObject(self.store, KIND, NAME)
         self._begun = False
         self._former_settled = False
@@ -134,9 +134,11 @@
         recent = self.find_shares_age() < _TOTALS_MAX_AGE
         return recent and self.wallet.is_exhausted(name, tokens)
 
-    def note_ended(self, holder: str, spent: Mapping[str, int]) -> None:
+    def record_ended(self, holder: str, spent: Mapping[str, int]) -> None:
         """Record the final spending of another router that has ended."""
-        self.ended[holder] = {name: Spent(one, one) for name, one in spent.items()}
+        self.ended[holder] = {
+            name: SpendingBounds(one, one) for name, one in spent.items()
+        }
         self._wake.set()
 
     @property
@@ -179,7 +181,7 @@
             self._note_failure(error)
 
     async def _settle_former(self) -> None:
-        former = await self.settle_former()
+        former = await self.bound_former_use()
         self._former_settled = True
         if former is not None:
             # Spending reported by the process itself is more exact than a bound.
@@ -197,7 +199,7 @@
             return now - self._started_at >= _MAX_FIRST_WRITE_DELAY or (
                 discovery_over and not self.alone
             )
-        if self.wallet.is_waited_for(now):
+        if self.wallet.has_drawable_waiters(now):
             return True
         if self.ended.keys() & self.wallet.seen.list_holders():
             return True
@@ -226,7 +228,7 @@
         if not self._begun and await self._begin_empty():
             return
         now = self.clock.now()
-        wishes = self.wallet.make_wishes(now)
+        wishes = self.wallet.make_share_requests(now)
         self._writes += 1
         mark = f"{self.holder}:{self._writes}"
 
@@ -259,7 +261,7 @@
         In a large fleet all routers start at once.  If each of them wrote the shared
         object, their writes would conflict for seconds.
         """
-        if self.wallet.keeps_any():
+        if self.wallet.must_record_use():
             return False
         stored = await self.store.get(KIND, NAME)
         allotments = read_allotments(stored.body if stored else None)
@@ -309,7 +311,9 @@
     async def close(self) -> None:
         """End this router's share, which returns all unspent tokens to the total."""
         self._closed = True
-        spent = {name: Spent(one, one) for name, one in self.list_spent().items()}
+        spent = {
+            name: SpendingBounds(one, one) for name, one in self.list_spent().items()
+        }
         for balance in self.wallet.balances.values():
             balance.ceiling = balance.spent
 
--- a/anvilshift/gateway/intake.py
+++ b/anvilshift/gateway/targetregistry.py
@@ -16,12 +16,12 @@
 
 
 @dataclass
-class TargetIntake:
+class TargetRegistry:
     """Keep the known targets in step with the store; announce targets that leave.
 
     Parameters
     ----------
-    note_lost
+    on_target_lost
         Called with the name of a target that has ended or was restarted.
     """
 
@@ -31,7 +31,7 @@
     peers: Peers
     clock: Clock
     journal: Journal
-    note_lost: Callable[[str], None]
+    on_target_lost: Callable[[str], None]
     _unreadable: set[str] = field(default_factory=set)
 
     def __post_init__(self) -> None:
@@ -51,7 +51,7 @@
             return
         self.register.put(change.name, change.body)
         known = self.loads.targets.get(change.name)
-        if known is None or info.is_another(known.info):
+        if known is None or info.is_other_start(known.info):
             self.journal.write(
                 "target_found",
                 target=info.name,
@@ -60,7 +60,7 @@
             )
             self.client.forget(Address.parse(info.address))
             if known is not None:
-                self.note_lost(info.name)
+                self.on_target_lost(info.name)
         elif known.info.leaving and not info.leaving:
             # Another router announced that the target leaves; its entry is older.
             info = replace(info, leaving=True)
@@ -72,7 +72,7 @@
 
     def remove(self, name: str) -> None:
         """Remove a target, and announce to the other routers that it is gone."""
-        self.note_lost(name)
+        self.on_target_lost(name)
         self.journal.write("target_gone", target=name)
         self.peers.tell(Leaving(name))
         self.loads.remove(name, self.clock.now())
--- a/anvilshift/objects/records.py
+++ b/anvilshift/objects/records.py
@@ -4,7 +4,7 @@
 
 from pydantic import TypeAdapter, ValidationError
 
-from anvilshift.core.errors import PLATFORM_GARBAGE, AnvilshiftError
+from anvilshift.core.errors import PLATFORM_UNREADABLE, AnvilshiftError
 from anvilshift.objects.store import Body
 
 Record = TypeVar("Record")
@@ -50,5 +50,5 @@
         record: Record = _find_adapter(kind).validate_python(body)
     except ValidationError as error:
         detail = f"an object is no {kind.__name__}"
-        raise AnvilshiftError(PLATFORM_GARBAGE, detail) from error
+        raise AnvilshiftError(PLATFORM_UNREADABLE, detail) from error
     return record
--- a/anvilshift/objects/store.py
+++ b/anvilshift/objects/store.py
@@ -12,7 +12,7 @@
     CONFLICT,
     FORBIDDEN,
     PLATFORM_DOWN,
-    PLATFORM_GARBAGE,
+    PLATFORM_UNREADABLE,
     AnvilshiftError,
 )
 from anvilshift.wire.client import ExchangeError, HttpClient
@@ -262,7 +262,7 @@
 
 
 def _garbage() -> AnvilshiftError:
-    return AnvilshiftError(PLATFORM_GARBAGE)
+    return AnvilshiftError(PLATFORM_UNREADABLE)
 
 
 def _read(answer: HttpAnswer) -> Body:
--- a/anvilshift/peers/link.py
+++ b/anvilshift/peers/link.py
@@ -71,22 +71,22 @@
 class PeerHandler(Protocol):
     """Answer other routers."""
 
-    async def take_beat(self, beat: Heartbeat) -> Heartbeat:
+    async def handle_heartbeat(self, beat: Heartbeat) -> Heartbeat:
         """Take in a heartbeat and return the own."""
 
-    async def take_copies(self, request: KeepRequest) -> KeepReply:
+    async def handle_keep(self, request: KeepRequest) -> KeepReply:
         """Keep copies of another router's bills."""
 
-    async def take_give_back(self, request: GiveBackRequest) -> GiveBackReply:
+    async def handle_give_back(self, request: GiveBackRequest) -> GiveBackReply:
         """Give unused tokens of a budget back to the platform."""
 
-    async def take_call_store(self, request: StoreRequest) -> StoreReply:
+    async def handle_call_store(self, request: StoreRequest) -> StoreReply:
         """Make a call of the platform for another router."""
 
-    async def take_permit(self, request: PermitRequest) -> PermitReply:
+    async def handle_permit(self, request: PermitRequest) -> PermitReply:
         """Issue a permit for a target that has named a limit."""
 
-    async def take_relocate(self, request: RelocateRequest) -> RelocateReply:
+    async def handle_relocate(self, request: RelocateRequest) -> RelocateReply:
         """Take part in sending a content elsewhere than to its homes."""
 
 
@@ -165,40 +165,40 @@
     async def Beat(self, stream: Stream[Heartbeat, Heartbeat]) -> None:  # noqa: N802
         message = await stream.recv_message()
         if message is not None:
-            await stream.send_message(await self._handler.take_beat(message))
+            await stream.send_message(await self._handler.handle_heartbeat(message))
 
     async def Keep(self, stream: Stream[KeepRequest, KeepReply]) -> None:  # noqa: N802
         message = await stream.recv_message()
         if message is not None:
-            await stream.send_message(await self._handler.take_copies(message))
+            await stream.send_message(await self._handler.handle_keep(message))
 
     async def GiveBack(  # noqa: N802
         self, stream: Stream[GiveBackRequest, GiveBackReply]
     ) -> None:
         message = await stream.recv_message()
         if message is not None:
-            await stream.send_message(await self._handler.take_give_back(message))
+            await stream.send_message(await self._handler.handle_give_back(message))
 
     async def CallStore(  # noqa: N802
         self, stream: Stream[StoreRequest, StoreReply]
     ) -> None:
         message = await stream.recv_message()
         if message is not None:
-            await stream.send_message(await self._handler.take_call_store(message))
+            await stream.send_message(await self._handler.handle_call_store(message))
 
     async def TakePermit(  # noqa: N802
         self, stream: Stream[PermitRequest, PermitReply]
     ) -> None:
         message = await stream.recv_message()
         if message is not None:
-            await stream.send_message(await self._handler.take_permit(message))
+            await stream.send_message(await self._handler.handle_permit(message))
 
     async def Relocate(  # noqa: N802
         self, stream: Stream[RelocateRequest, RelocateReply]
     ) -> None:
         message = await stream.recv_message()
         if message is not None:
-            await stream.send_message(await self._handler.take_relocate(message))
+            await stream.send_message(await self._handler.handle_relocate(message))
 
 
 class PeerServer:
--- a/anvilshift/platform/dialect.py
+++ b/anvilshift/platform/dialect.py
@@ -5,7 +5,7 @@
 from pydantic import ValidationError
 
 from anvilshift.core.clock import SECOND, Millis
-from anvilshift.core.errors import BAD_VALUE, PLATFORM_GARBAGE, AnvilshiftError
+from anvilshift.core.errors import BAD_VALUE, PLATFORM_UNREADABLE, AnvilshiftError
 from anvilshift.core.loadmap import Prompt, TargetInfo
 from anvilshift.core.routing import Configuration
 from anvilshift.gateway.border import Call, Delivery, Notes, Raw
@@ -31,7 +31,7 @@
             fault = error.errors()[0]
             where = ".".join(str(part) for part in fault["loc"])
             detail = f"{where}: {fault['msg']}"
-            raise AnvilshiftError(PLATFORM_GARBAGE, detail) from error
+            raise AnvilshiftError(PLATFORM_UNREADABLE, detail) from error
 
     def read_target(self, name: str, body: Raw, now: Millis) -> TargetInfo | None:
         """Return the target that an entry registers; None if it names none."""
--- a/anvilshift/platform/entrance.py
+++ b/anvilshift/platform/entrance.py
@@ -4,7 +4,7 @@
 
 from anvilshift.core.clock import SECOND
 from anvilshift.core.errors import UNKNOWN_ROUTE, AnvilshiftError
-from anvilshift.gateway.node import Entrances
+from anvilshift.gateway.node import Endpoints
 from anvilshift.platform import names
 from anvilshift.wire.jsons import dump_json
 from anvilshift.wire.messages import JSON_TYPE, HttpRequest, Reply
@@ -14,16 +14,16 @@
 """Addresses that callers read of one answer."""
 
 
-class EntrancePort:
+class EndpointPort:
     """Answer whether this process is ready, and where to connect."""
 
     def __init__(
         self,
         is_ready: Callable[[], bool],
-        list_entrances: Callable[[str], Entrances],
+        list_endpoints: Callable[[str], Endpoints],
     ) -> None:
         self._is_ready = is_ready
-        self._list_entrances = list_entrances
+        self._list_entrances = list_endpoints
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
         """Answer a call."""
--- a/anvilshift/platform/main.py
+++ b/anvilshift/platform/main.py
@@ -6,13 +6,13 @@
 import signal
 import sys
 
-from anvilshift.core.clock import STARTED, MonotonicClock
+from anvilshift.core.clock import PROCESS_START, MonotonicClock
 from anvilshift.core.errors import AnvilshiftError
 from anvilshift.gateway.journal import Journal
 from anvilshift.gateway.node import GatewayNode
 from anvilshift.gateway.settings import GatewaySettings
 from anvilshift.platform.dialect import PlatformDialect
-from anvilshift.platform.entrance import EntrancePort
+from anvilshift.platform.entrance import EndpointPort
 from anvilshift.platform.settings import find_path, read_settings
 from anvilshift.platform.store import PlatformStore
 from anvilshift.wire.client import HttpClient
@@ -32,9 +32,9 @@
         store = PlatformStore(self._store_client, settings.store)
         rng = random.Random(random.SystemRandom().getrandbits(64))
         self.node = GatewayNode(
-            settings, PlatformDialect(), store, clock, self._journal, rng, STARTED
+            settings, PlatformDialect(), store, clock, self._journal, rng, PROCESS_START
         )
-        port = EntrancePort(self.node.is_ready, self.node.list_entrances)
+        port = EndpointPort(self.node.is_ready, self.node.list_endpoints)
         self._entrance = port
         self._stopping = asyncio.Event()
 
--- a/anvilshift/platform/records.py
+++ b/anvilshift/platform/records.py
@@ -11,11 +11,11 @@
 from anvilshift.core.routing import (
     ClientLimits,
     Configuration,
-    ModelFigures,
+    ModelLimits,
+    OrganisationBudget,
     RequestKind,
     Rule,
     Service,
-    Tenancy,
 )
 
 _BITS = 8
@@ -74,7 +74,7 @@
             objective=self.latency_goal_ms,
             pause_objective=self.itl_target_ms,
             priority=self.priority,
-            most_targets=self.max_attempts,
+            max_targets_per_request=self.max_attempts,
             anonymous=self.anonymous,
             resumable=self.resumable,
         )
@@ -90,11 +90,11 @@
     link_mbps: float = 0.0
     """Rate at which engines send memory to one another."""
 
-    def convert(self) -> ModelFigures:
+    def convert(self) -> ModelLimits:
         """Return the product's figures."""
         bits, rate = self.kv_token_bytes * _BITS, self.link_mbps * _BITS_A_MS_PER_MBPS
         per_token = bits / rate if bits > 0.0 and rate > 0.0 else math.inf
-        return ModelFigures(self.slots, self.kv_capacity, self.stride, per_token)
+        return ModelLimits(self.slots, self.kv_capacity, self.stride, per_token)
 
 
 class ServiceRecord(_Record):
@@ -120,9 +120,11 @@
     reserved: int | None = None
     """Tokens that may be consumed in all; it grows when more is prepaid."""
 
-    def convert(self) -> Tenancy:
+    def convert(self) -> OrganisationBudget:
         """Return the product's organisation."""
-        return Tenancy(self.name, tuple(self.api_keys), self.priority, self.reserved)
+        return OrganisationBudget(
+            self.name, tuple(self.api_keys), self.priority, self.reserved
+        )
 
 
 class _Limits(_Record):
