--- a/anvilshift/platform/store.py
+++ b/anvilshift/platform/store.py
@@ -5,7 +5,7 @@
 from urllib.parse import quote, urlencode
 
 from anvilshift.core.clock import Millis
-from anvilshift.core.errors import PLATFORM_DOWN, PLATFORM_GARBAGE, AnvilshiftError
+from anvilshift.core.errors import PLATFORM_DOWN, PLATFORM_UNREADABLE, AnvilshiftError
 from anvilshift.objects.store import (
     Body,
     Change,
@@ -125,11 +125,11 @@
 
 def _read(answer: HttpAnswer) -> dict[str, Any]:
     if answer.status >= 300:
-        raise AnvilshiftError(PLATFORM_GARBAGE, f"status {answer.status}")
+        raise AnvilshiftError(PLATFORM_UNREADABLE, f"status {answer.status}")
     try:
         return parse_object(answer.body)
     except AnvilshiftError as error:
-        raise AnvilshiftError(PLATFORM_GARBAGE, error.detail) from error
+        raise AnvilshiftError(PLATFORM_UNREADABLE, error.detail) from error
 
 
 def _read_conflict(kind: str, answer: HttpAnswer) -> Stored | None:
@@ -145,7 +145,7 @@
 
 def _read_whole(value: Any) -> int:
     if type(value) is not int or value < 0:
-        raise AnvilshiftError(PLATFORM_GARBAGE, "a revision is no whole number")
+        raise AnvilshiftError(PLATFORM_UNREADABLE, "a revision is no whole number")
     return value
 
 
@@ -153,7 +153,7 @@
     """Return an object; a body that is no mapping is an empty one."""
     metadata = value.get("metadata") if isinstance(value, dict) else None
     if not isinstance(metadata, dict) or not isinstance(metadata.get("name"), str):
-        raise AnvilshiftError(PLATFORM_GARBAGE, "an object has no name")
+        raise AnvilshiftError(PLATFORM_UNREADABLE, "an object has no name")
     spec = value.get("spec")
     body = spec if isinstance(spec, dict) else {}
     return Stored(kind, metadata["name"], _read_whole(metadata.get("revision")), body)
@@ -161,7 +161,7 @@
 
 def _read_entries(kind: str, values: Any) -> list[Stored]:
     if not isinstance(values, list):
-        raise AnvilshiftError(PLATFORM_GARBAGE, "a list has no entries")
+        raise AnvilshiftError(PLATFORM_UNREADABLE, "a list has no entries")
     return [_read_object(kind, value) for value in values]
 
 
--- a/anvilshift/router/gate.py
+++ b/anvilshift/router/accesscontrol.py
@@ -43,7 +43,7 @@
     return bool(expected) and hmac.compare_digest(token, expected)
 
 
-class Gate:
+class AccessControl:
     """The current catalogue, with an index of organisations by credential."""
 
     def __init__(self) -> None:
--- a/anvilshift/router/witnesses.py
+++ b/anvilshift/router/billcopyholders.py
@@ -10,9 +10,9 @@
 
 from absl import logging
 
+from anvilshift.core.billcopies import BillCopies
 from anvilshift.core.clock import Clock
-from anvilshift.core.copies import Copies
-from anvilshift.core.membership import Member, Roster
+from anvilshift.core.membership import Member, MemberTable
 from anvilshift.peers.generated.peers_pb2 import KeepRequest
 from anvilshift.peers.link import PeerError, PeerLink
 from anvilshift.router.messages import Bills, make_keep_request
@@ -23,7 +23,7 @@
 them, each answer during an outage would need a call to every router."""
 
 
-class Witnesses:
+class BillCopyHolders:
     """Store copies of this router's bills at other routers.
 
     Parameters
@@ -39,7 +39,7 @@
         link: PeerLink,
         clock: Clock,
         own: Member,
-        read_roster: Callable[[], Roster],
+        read_roster: Callable[[], MemberTable],
     ) -> None:
         self._link = link
         self._clock = clock
@@ -49,7 +49,7 @@
     async def keep_copies(self, holder: str, bills: Bills, witness: str = "") -> bool:
         """Store copies of bills at a few other routers; True if one accepted them.
 
-        The witness is left out, because `keep_witnessed` sends it its own copies.
+        The witness is left out, because `store_at_witness` sends it its own copies.
         When a router doesn't answer, the next candidate is asked in its place.
         """
         request = make_keep_request(holder, bills)
@@ -66,7 +66,7 @@
             kept += sum(await asyncio.gather(*work))
         return kept > 0
 
-    async def hand_on(self, copies: Copies) -> None:
+    async def transfer_copies(self, copies: BillCopies) -> None:
         """Send the copies kept here to other routers before this router stops."""
         copies.stop()
         for holder in copies.list_holders():
@@ -76,10 +76,10 @@
             else:
                 logging.error("copies end here holder=%s bills=%d", holder, len(bills))
 
-    async def keep_witnessed(self, witness: str, holder: str, bills: Bills) -> bool:
+    async def store_at_witness(self, witness: str, holder: str, bills: Bills) -> bool:
         """Store copies of bills at the holder's witness; True once it has them."""
         request = make_keep_request(holder, bills, witness)
-        for sighting in self._read_roster().sightings.values():
+        for sighting in self._read_roster().member_statuses.values():
             if sighting.member.incarnation == witness:
                 return await self._send_copies(sighting.member.peer_address, request)
         return False
@@ -100,7 +100,7 @@
         roster, now = self._read_roster(), self._clock.now()
         heard = [
             sighting.member
-            for sighting in roster.sightings.values()
+            for sighting in roster.member_statuses.values()
             if sighting.heard is not None
             and now - sighting.heard <= roster.lease
             and not sighting.member.leaving
--- a/anvilshift/router/treasury.py
+++ b/anvilshift/router/budgets.py
@@ -5,11 +5,11 @@
 from absl import logging
 
 from anvilshift.core.account import Bill
+from anvilshift.core.billcopies import BillCopies
 from anvilshift.core.clock import SECOND, Clock, Millis
-from anvilshift.core.copies import Copies
 from anvilshift.core.declarations import Budget
 from anvilshift.core.errors import BUDGET_UNREACHABLE, AnvilshiftError
-from anvilshift.core.escrow import Bills
+from anvilshift.core.holderaccounts import Bills
 from anvilshift.core.ledger import Ledger
 from anvilshift.objects.ledgers import (
     LEDGER_KIND,
@@ -20,11 +20,11 @@
     read_shards,
 )
 from anvilshift.objects.store import ObjectStore
-from anvilshift.router.branch import Branch
 from anvilshift.router.hooks import AskPeers, Hooks, KeepCopies
+from anvilshift.router.ledgerclient import LedgerClient
 from anvilshift.router.sealing import BILL_LIFETIME_S, HOLDER_LIFETIME_S, belongs
 
-__all__ = ["BILL_LIFETIME_S", "LEDGER_KIND", "LEDGER_NAME", "Treasury"]
+__all__ = ["BILL_LIFETIME_S", "LEDGER_KIND", "LEDGER_NAME", "RouterBudgets"]
 
 SEAL_UNKNOWN_AFTER: Millis = 15 * SECOND
 """Time for which a holder must belong to no known router before it is sealed.  It
@@ -32,11 +32,11 @@
 little before the others read its record."""
 
 
-class Treasury:
+class RouterBudgets:
     """Token budgets that one router spends from.
 
     Each budget belongs to one ledger object, and each ledger object in use has a
-    `Branch`, which commits this router's grants and bills to it.
+    `LedgerClient`, which commits this router's grants and bills to it.
 
     Parameters
     ----------
@@ -51,14 +51,14 @@
         self, store: ObjectStore, clock: Clock, incarnation: str, spacing: Millis
     ) -> None:
         self.hooks = Hooks()
-        self.copies = Copies(incarnation)
+        self.copies = BillCopies(incarnation)
         self._store = store
         self._clock = clock
         self._incarnation = incarnation
         self._spacing = spacing
         self._budgets: dict[str, Budget] = {}
         self._shards = 0
-        self._branches: dict[str, Branch] = {}
+        self._branches: dict[str, LedgerClient] = {}
         self._unknown_since: dict[str, Millis] = {}
 
     @property
@@ -80,12 +80,12 @@
         self.hooks.ask_peers = ask
 
     @property
-    def platform_out(self) -> bool:
+    def platform_unavailable(self) -> bool:
         """Tell whether the commits of any ledger object keep failing."""
-        return any(branch.platform_out for branch in self._branches.values())
+        return any(branch.platform_unavailable for branch in self._branches.values())
 
     @property
-    def branches(self) -> Collection[Branch]:
+    def branches(self) -> Collection[LedgerClient]:
         """Return the branches, one for each ledger object in use."""
         return self._branches.values()
 
@@ -100,11 +100,11 @@
                 if account in budgets:
                     self._open_account(branch, account)
 
-    def _open_account(self, branch: Branch, account: str) -> None:
+    def _open_account(self, branch: LedgerClient, account: str) -> None:
         budget = self._budgets.get(account) or Budget(account)
         branch.escrow.open(account, budget.allowance, budget.grant)
 
-    async def _find_branch(self, account: str) -> Branch:
+    async def _find_branch(self, account: str) -> LedgerClient:
         if not self._shards:
             self._shards = await read_shards(self._store)
         branch = self._make_branch(ledger_name(account, self._shards))
@@ -112,9 +112,9 @@
             self._open_account(branch, account)
         return branch
 
-    def _make_branch(self, name: str) -> Branch:
+    def _make_branch(self, name: str) -> LedgerClient:
         if name not in self._branches:
-            branch = Branch(
+            branch = LedgerClient(
                 self._store,
                 name,
                 self._clock,
@@ -172,12 +172,12 @@
         bill = Bill(key, organisation, tokens, "", self._clock.wall())
         await branch.settle(account, bill, until)
 
-    async def _all_branches(self) -> list[Branch]:
+    async def _all_branches(self) -> list[LedgerClient]:
         if not self._shards:
             self._shards = await read_shards(self._store)
         return [self._make_branch(name) for name in list_names(self._shards)]
 
-    async def hand_in(self, holder: str, bills: Bills) -> None:
+    async def submit_late_bills(self, holder: str, bills: Bills) -> None:
         """Record bills whose answers a sealed holder completed within its allowance.
 
         Each bill goes to the ledger object that has its account.
@@ -185,9 +185,9 @@
         for branch in await self._all_branches():
             selected = self._select_bills(bills, branch)
             if selected:
-                await branch.sealing.hand_in(holder, selected)
+                await branch.sealing.submit_late_bills(holder, selected)
 
-    def _select_bills(self, bills: Bills, branch: Branch) -> Bills:
+    def _select_bills(self, bills: Bills, branch: LedgerClient) -> Bills:
         return tuple(
             (account, bill)
             for account, bill in bills
@@ -229,16 +229,20 @@
         self.copies.keep_only(holders)
         await self._seal_orphans(unknown)
 
-    async def _resolve_sealed_holders(self, branch: Branch, ledger: Ledger) -> None:
+    async def _resolve_sealed_holders(
+        self, branch: LedgerClient, ledger: Ledger
+    ) -> None:
         expired_before = self._clock.wall() - HOLDER_LIFETIME_S
         for holder in ledger.list_sealed(before=self._clock.wall() + 1):
             witnesses = ledger.list_witnesses(holder)
             if self._incarnation in witnesses:
                 bills = self._select_bills(self.copies.close(holder), branch)
-                await branch.sealing.hand_in(holder, bills, closer=self._incarnation)
+                await branch.sealing.submit_late_bills(
+                    holder, bills, closer=self._incarnation
+                )
             elif self._select_bills(self.copies.list(holder), branch):
                 bills = self._select_bills(self.copies.list(holder), branch)
-                await branch.sealing.hand_in(holder, bills)
+                await branch.sealing.submit_late_bills(holder, bills)
             elif holder in ledger.list_sealed(before=expired_before):
                 await branch.sealing.write_off(holder)
 
@@ -261,10 +265,10 @@
         ]
         return all(results)
 
-    async def hand_back(self) -> bool:
+    async def settle_all(self) -> bool:
         """Record every bill and return unreserved tokens; False when that failed."""
         await self.give_back()
-        return all(branch.is_settled() for branch in self.branches)
+        return all(branch.has_no_pending_changes() for branch in self.branches)
 
     async def close(self) -> None:
         """Record all bills, return the grants to the ledger and stop."""
--- a/anvilshift/router/callers.py
+++ b/anvilshift/router/callers.py
@@ -12,6 +12,7 @@
     UNKNOWN_ROUTE,
     AnvilshiftError,
 )
+from anvilshift.router.accesscontrol import AccessControl
 from anvilshift.router.answers import (
     REQUEST_HEADER,
     read_whole,
@@ -19,9 +20,8 @@
     write_stream,
 )
 from anvilshift.router.claimed import ClaimedRuns
-from anvilshift.router.claims import ClaimBook
-from anvilshift.router.gate import Gate
-from anvilshift.router.registry import Runs, goes_on
+from anvilshift.router.claims import ClaimStore
+from anvilshift.router.registry import Runs, continues_received
 from anvilshift.router.requests import Job, read_chat, read_service_call
 from anvilshift.router.runs import Shared
 from anvilshift.router.services import ServiceCall
@@ -49,8 +49,8 @@
     def __init__(
         self,
         shared: Shared,
-        gate: Gate,
-        claims: ClaimBook,
+        gate: AccessControl,
+        claims: ClaimStore,
         ready: Callable[[], bool],
         addresses: Callable[[], dict[str, object]],
     ) -> None:
@@ -133,7 +133,7 @@
                 first = asyncio.FIRST_COMPLETED
                 await asyncio.wait([outcome, running], return_when=first)
             run = running.result() if running.done() else None
-            if run is not None and not outcome.done() and goes_on(run, job):
+            if run is not None and not outcome.done() and continues_received(run, job):
                 await write_stream(run, job, responder, outcome)
             else:
                 await write_answer(await outcome, job, responder)
--- a/anvilshift/router/claimed.py
+++ b/anvilshift/router/claimed.py
@@ -21,9 +21,9 @@
     NOT_RECORDED,
     OUTCOME_UNKNOWN,
     AnvilshiftError,
-    Fate,
+    ExecutionState,
 )
-from anvilshift.router.claims import ClaimBook
+from anvilshift.router.claims import ClaimStore
 from anvilshift.router.requests import Job
 
 _RECORD_MARGIN: Millis = 2_000.0
@@ -40,7 +40,7 @@
 class ClaimedRuns:
     """Claimed work that runs at this router, by the identity of its job."""
 
-    def __init__(self, book: ClaimBook, clock: Clock) -> None:
+    def __init__(self, book: ClaimStore, clock: Clock) -> None:
         self.book = book
         self._clock = clock
         self._entries: dict[str, _Entry] = {}
@@ -104,10 +104,10 @@
         try:
             answer = await work()
         except AnvilshiftError as error:
-            if error.code.fate is Fate.NOT_RUN:
+            if error.code.fate is ExecutionState.NOT_RUN:
                 self.book.record_later(job.identity, claim.void())
                 raise
-            if error.code.fate is Fate.RAN:
+            if error.code.fate is ExecutionState.RAN:
                 self.book.record_later(job.identity, claim.finish(None))
                 raise
             self.book.record_later(job.identity, claim.lose())
--- a/anvilshift/router/claims.py
+++ b/anvilshift/router/claims.py
@@ -49,7 +49,7 @@
 """Tells, without a call, whether a router incarnation is known to be running."""
 
 
-class ClaimBook:
+class ClaimStore:
     """Create claims and record how their work ended.
 
     Parameters
--- a/anvilshift/router/crashes.py
+++ b/anvilshift/router/crashes.py
@@ -11,12 +11,12 @@
 from collections.abc import Awaitable, Callable, Iterable
 
 from anvilshift.core.clock import SECOND, Clock, Millis
-from anvilshift.core.quarantine import FORGET_AFTER
-from anvilshift.core.work import Announce
+from anvilshift.core.quarantine import CHARGE_LIFETIME
+from anvilshift.core.work import CrashAnnouncement
 from anvilshift.peers.generated.peers_pb2 import Crash
 
-_SENT_FOR: Millis = FORGET_AFTER
-_REMEMBERED_FOR: Millis = 2 * FORGET_AFTER
+_SENT_FOR: Millis = CHARGE_LIFETIME
+_REMEMBERED_FOR: Millis = 2 * CHARGE_LIFETIME
 """Received reports are remembered for longer than any router sends them, so that one
 that arrives again after its content was cleared does not blame the content again."""
 _RELAYED_FOR: Millis = 60 * SECOND
@@ -31,7 +31,7 @@
 _MAX_INCARNATIONS = 10_000
 
 
-class CrashNews:
+class CrashReports:
     """Crash reports that this router sends and has received.
 
     Parameters
@@ -44,7 +44,7 @@
 
     Attributes
     ----------
-    list_standing
+    list_quarantined
         Returns the crashes of the contents that are quarantined now.
     take_other
         Called with the report of a further crash of the same target, or of a crash
@@ -60,16 +60,16 @@
         self._clock = clock
         self._take = take
         self._beat = beat
-        self._sent_at: dict[Announce, Millis] = {}
-        self._received_at: dict[Announce, Millis] = {}
-        self._relayed_at: dict[Announce, Millis] = {}
+        self._sent_at: dict[CrashAnnouncement, Millis] = {}
+        self._received_at: dict[CrashAnnouncement, Millis] = {}
+        self._relayed_at: dict[CrashAnnouncement, Millis] = {}
         self._known_incarnations: set[str] = set()
         self._newcomer_at: Millis = -_NEWCOMER_FOR
-        self.list_standing: Callable[[], Iterable[Announce]] = tuple
-        self.take_other: Callable[[Announce], None] = lambda news: None
+        self.list_quarantined: Callable[[], Iterable[CrashAnnouncement]] = tuple
+        self.take_other: Callable[[CrashAnnouncement], None] = lambda news: None
         self._heartbeat_tasks: set[asyncio.Future[None]] = set()
 
-    def announce(self, news: Announce) -> None:
+    def announce(self, news: CrashAnnouncement) -> None:
         """Report a crash to the other routers at once."""
         self._sent_at[news] = self._received_at[news] = self._clock.now()
         task = asyncio.ensure_future(self._beat())
@@ -90,7 +90,7 @@
         self._known_incarnations.add(incarnation)
         self._newcomer_at = self._clock.now()
 
-    def list_told(self) -> list[Crash]:
+    def list_reports_to_send(self) -> list[Crash]:
         """Return the crashes that the next heartbeat carries."""
         now = self._clock.now()
         self._sent_at = self._keep_recent(self._sent_at, _SENT_FOR, _MAX_SENT)
@@ -99,7 +99,7 @@
             news: now - at for news, at in (self._relayed_at | self._sent_at).items()
         }
         if now - self._newcomer_at <= _NEWCOMER_FOR:
-            ages = dict.fromkeys(self.list_standing(), 0.0) | ages
+            ages = dict.fromkeys(self.list_quarantined(), 0.0) | ages
         return [
             Crash(
                 content=news.content,
@@ -114,7 +114,7 @@
         """Apply the crashes of a received heartbeat that are new here."""
         self._received_at = self._keep_recent(self._received_at, _REMEMBERED_FOR)
         for item in crashes:
-            news = Announce(item.content, item.target, item.further + 1)
+            news = CrashAnnouncement(item.content, item.target, item.further + 1)
             if news not in self._received_at:
                 self._received_at[news] = self._clock.now()
                 self._relayed_at[news] = self._clock.now() - item.age_ms
@@ -124,8 +124,11 @@
                     self.take_other(news)
 
     def _keep_recent(
-        self, news: dict[Announce, Millis], span: Millis, max_count: int | None = None
-    ) -> dict[Announce, Millis]:
+        self,
+        news: dict[CrashAnnouncement, Millis],
+        span: Millis,
+        max_count: int | None = None,
+    ) -> dict[CrashAnnouncement, Millis]:
         now = self._clock.now()
         recent = {item: at for item, at in news.items() if now - at <= span}
         if max_count is None or len(recent) <= max_count:
--- a/anvilshift/router/dispatching.py
+++ b/anvilshift/router/dispatching.py
@@ -11,9 +11,9 @@
 from anvilshift.core.errors import AnvilshiftError
 from anvilshift.core.work import (
     Actions,
-    Announce,
     Ask,
     Cancel,
+    CrashAnnouncement,
     Failure,
     Refuse,
     Send,
@@ -44,7 +44,7 @@
 
     def __init__(self, dispatcher: Dispatcher, clock: Clock) -> None:
         self.dispatcher = dispatcher
-        self.announce: Callable[[Announce], None] = lambda announcement: None
+        self.announce: Callable[[CrashAnnouncement], None] = lambda announcement: None
         self.on_change: Callable[[], None] = lambda: None
         self.relocate: Callable[[Ask], Awaitable[bool]] = _refuse_relocation
         self._ask_tasks: set[asyncio.Task[None]] = set()
@@ -138,7 +138,7 @@
     def act(self, actions: Actions) -> None:
         """Carry out the dispatcher's actions."""
         for action in actions:
-            if isinstance(action, Announce):
+            if isinstance(action, CrashAnnouncement):
                 self.announce(action)
                 continue
             if isinstance(action, Ask):
--- a/anvilshift/router/fleet.py
+++ b/anvilshift/router/fleet.py
@@ -14,7 +14,7 @@
 from anvilshift.core.clock import SECOND, Clock, Millis
 from anvilshift.core.errors import AnvilshiftError
 from anvilshift.core.lease import Lease
-from anvilshift.core.membership import Member, Roster, Vitals
+from anvilshift.core.membership import HeartbeatStatus, Member, MemberTable
 from anvilshift.objects.records import decode, encode
 from anvilshift.objects.store import Body, ConflictError, ObjectStore, update
 from anvilshift.peers.generated.peers_pb2 import (
@@ -32,6 +32,8 @@
     StoreRequest,
 )
 from anvilshift.peers.link import PeerError, PeerLink
+from anvilshift.router.billcopyholders import BillCopyHolders
+from anvilshift.router.budgets import RouterBudgets
 from anvilshift.router.following import ROUTER_KIND
 from anvilshift.router.messages import (
     make_heartbeat,
@@ -40,8 +42,6 @@
     read_vitals,
 )
 from anvilshift.router.relayed import RelayedStore, call_store
-from anvilshift.router.treasury import Treasury
-from anvilshift.router.witnesses import Witnesses
 
 _RENEWALS_PER_LEASE = 4
 _MIN_WRITE_INTERVAL: Millis = 200.0
@@ -80,28 +80,30 @@
         link: PeerLink,
         clock: Clock,
         member: Member,
-        treasury: Treasury,
+        treasury: RouterBudgets,
         lease: Millis,
         heartbeat: Millis,
         in_flight: Callable[[], int],
         direct: ObjectStore | None = None,
     ) -> None:
         self.member = member
-        self.roster = Roster(lease)
+        self.roster = MemberTable(lease)
         self.lease = Lease(lease)
         self.required_revision = 0
         """Revision that must be in force here before this router takes new work."""
-        self.tell_targets: Callable[[], Iterable[str]] = tuple
-        self.hear_targets: Callable[[str, Iterable[str]], None] = lambda _, __: None
-        self.tell_crashes: Callable[[], Iterable[Crash]] = tuple
+        self.list_leaving_targets: Callable[[], Iterable[str]] = tuple
+        self.receive_leaving_targets: Callable[[str, Iterable[str]], None] = (
+            lambda _, __: None
+        )
+        self.list_crash_reports: Callable[[], Iterable[Crash]] = tuple
         self.greet: Callable[[str], None] = _ignore_incarnation
-        self.hear_crashes: Callable[[Iterable[Crash]], None] = lambda crashes: None
-        self.at_roster: Callable[[], None] = lambda: None
-        self.at_beat: Callable[[], None] = lambda: None
+        self.receive_crash_reports: Callable[[Iterable[Crash]], None] = lambda _: None
+        self.on_roster_changed: Callable[[], None] = lambda: None
+        self.on_heartbeat: Callable[[], None] = lambda: None
         self.relocate: Callable[[RelocateRequest], RelocateReply]
         self.issue_permit: Callable[[PermitRequest], Awaitable[PermitReply]]
         self.read_revision: Callable[[], int] = lambda: self.member.revision
-        self.read_seen: Callable[[], int] = lambda: self.member.revision
+        self.read_received_revision: Callable[[], int] = lambda: self.member.revision
         self._store = store
         self._direct = direct or store
         self._link = link
@@ -114,10 +116,10 @@
         self._declarations_listed = asyncio.Event()
         self._renewal_requested = asyncio.Event()
         self.tasks: list[asyncio.Task[None]] = []
-        self.witnesses = Witnesses(link, clock, member, lambda: self.roster)
+        self.witnesses = BillCopyHolders(link, clock, member, lambda: self.roster)
         treasury.keep_copies = self.witnesses.keep_copies
         treasury.ask_peers = self.ask_peers
-        treasury.hooks.keep_witnessed = self.witnesses.keep_witnessed
+        treasury.hooks.store_at_witness = self.witnesses.store_at_witness
         treasury.hooks.choose_witness = self.witnesses.choose
 
     def start(self) -> None:
@@ -134,26 +136,26 @@
         without it.  It must therefore first have in force the revision at which its
         record was created again.
         """
-        seen, now = self.read_seen(), self._clock.now()
+        seen, now = self.read_received_revision(), self._clock.now()
         leased = self.lease.may_serve(self.roster, seen, now)
         return leased and self.read_revision() >= self.required_revision
 
     def is_partitioned(self) -> bool:
         """Tell whether some router of the fleet has not been heard recently."""
         span, now = _PARTITIONED_AFTER * self._heartbeat, self._clock.now()
-        sightings = self.roster.sightings.values()
+        member_statuses = self.roster.member_statuses.values()
         return any(
             sighting.heard is None or now - sighting.heard > span
-            for sighting in sightings
+            for sighting in member_statuses
         )
 
     def find_common_revision(self) -> int:
         """Return the newest revision that all known routers have in force."""
-        sightings = self.roster.sightings.values()
+        member_statuses = self.roster.member_statuses.values()
         return min(
             [
                 self.member.revision,
-                *(sighting.member.revision for sighting in sightings),
+                *(sighting.member.revision for sighting in member_statuses),
             ]
         )
 
@@ -166,13 +168,13 @@
             self.member = replace(self.member, revision=revision)
             self._renewal_requested.set()
 
-    def take_router(self, name: str, body: Body | None) -> None:
+    def apply_router_record(self, name: str, body: Body | None) -> None:
         """Add another router's record to the roster, or remove it if it is None."""
         if name == self.member.name:
             return
         if body is None:
             self.roster = self.roster.remove(name)
-            self.at_roster()
+            self.on_roster_changed()
             return
         try:
             member = decode(Member, body)
@@ -181,7 +183,7 @@
             logging.error("router record unreadable name=%s %s", name, error)
             return
         self.roster = self.roster.record(member, self._clock.now())
-        self.at_roster()
+        self.on_roster_changed()
         self.greet(member.incarnation)
 
     async def leave(self) -> None:
@@ -189,7 +191,7 @@
         self.member = replace(self.member, leaving=True)
         if self._declarations_listed.is_set():
             await self._renew()
-        await self.beat_all()
+        await self.send_heartbeats()
 
     async def close(self) -> None:
         """Stop all tasks and delete this router's record."""
@@ -222,7 +224,10 @@
         revision = max(self.member.revision, self.read_revision())
         beat = self.member.beat + 1
         self.member = replace(
-            self.member, beat=beat, revision=revision, seen=self.read_seen()
+            self.member,
+            beat=beat,
+            revision=revision,
+            seen=self.read_received_revision(),
         )
         body = encode(self.member)
         absent = False
@@ -287,18 +292,24 @@
 
     def _list_incarnations(self) -> set[str]:
         return {
-            sighting.member.incarnation for sighting in self.roster.sightings.values()
+            sighting.member.incarnation
+            for sighting in self.roster.member_statuses.values()
         }
 
     def _make_heartbeat(self) -> Heartbeat:
-        vitals = Vitals(
+        heartbeat_status = HeartbeatStatus(
             self._reaches_platform(),
             self.lease.renewing_for(self._clock.now()),
             self.may_serve() and not self.member.leaving,
             self._in_flight(),
         )
-        member = replace(self.member, seen=self.read_seen())
-        return make_heartbeat(member, vitals, self.tell_targets(), self.tell_crashes())
+        member = replace(self.member, seen=self.read_received_revision())
+        return make_heartbeat(
+            member,
+            heartbeat_status,
+            self.list_leaving_targets(),
+            self.list_crash_reports(),
+        )
 
     def _reaches_platform(self) -> bool:
         if isinstance(self._store, RelayedStore):
@@ -311,17 +322,17 @@
         return [
             sighting.member.peer_address
             for sighting in present
-            if sighting.vitals.reaches_platform and sighting.heard is not None
+            if sighting.heartbeat_status.reaches_platform and sighting.heard is not None
         ]
 
     def _apply_heartbeat(self, beat: Heartbeat) -> None:
         self.roster = self.roster.hear(
             read_member(beat), read_vitals(beat), self._clock.now()
         )
-        self.at_roster()
-        self.hear_targets(beat.router, beat.leaving_targets)
+        self.on_roster_changed()
+        self.receive_leaving_targets(beat.router, beat.leaving_targets)
         self.greet(beat.incarnation)
-        self.hear_crashes(beat.crashes)
+        self.receive_crash_reports(beat.crashes)
 
     async def _keep_sending_heartbeats(self) -> None:
         # Each peer gets heartbeats from a task of its own, so that a peer that does
@@ -329,7 +340,7 @@
         # for lost.
         while True:
             self.may_serve()
-            self.at_beat()
+            self.on_heartbeat()
             running = {
                 address: task
                 for address, task in self._beats.items()
@@ -343,7 +354,7 @@
                     running[address] = beat
             await asyncio.sleep(self._heartbeat / SECOND)
 
-    async def beat_all(self) -> None:
+    async def send_heartbeats(self) -> None:
         """Send a heartbeat to every other router now."""
         addresses = self._list_present_addresses()
         await asyncio.gather(
@@ -352,7 +363,8 @@
 
     def _list_addresses(self) -> list[str]:
         return [
-            sighting.member.peer_address for sighting in self.roster.sightings.values()
+            sighting.member.peer_address
+            for sighting in self.roster.member_statuses.values()
         ]
 
     def _list_present_addresses(self) -> list[str]:
@@ -378,30 +390,30 @@
         with contextlib.suppress(PeerError):
             await self._link.give_back(address, request)
 
-    async def take_beat(self, beat: Heartbeat) -> Heartbeat:
+    async def handle_heartbeat(self, beat: Heartbeat) -> Heartbeat:
         """Apply another router's heartbeat and reply with this router's."""
         self._apply_heartbeat(beat)
         return self._make_heartbeat()
 
-    async def take_copies(self, request: KeepRequest) -> KeepReply:
+    async def handle_keep(self, request: KeepRequest) -> KeepReply:
         """Store copies of another router's bills, and tell whether they were kept."""
         bills = read_bills(request, self._clock.wall())
         kept = self._treasury.copies.add(request.holder, bills, request.witness)
         return KeepReply(kept=kept)
 
-    async def take_give_back(self, request: GiveBackRequest) -> GiveBackReply:
+    async def handle_give_back(self, request: GiveBackRequest) -> GiveBackReply:
         """Return unused tokens of a budget to the ledger."""
         await self._treasury.give_back(request.account)
         return GiveBackReply()
 
-    async def take_permit(self, request: PermitRequest) -> PermitReply:
+    async def handle_permit(self, request: PermitRequest) -> PermitReply:
         """Issue a permit for a target that has announced a rate limit."""
         return await self.issue_permit(request)
 
-    async def take_relocate(self, request: RelocateRequest) -> RelocateReply:
+    async def handle_relocate(self, request: RelocateRequest) -> RelocateReply:
         """Handle one step of relocating a content to a target that isn't its home."""
         return self.relocate(request)
 
-    async def take_call_store(self, request: StoreRequest) -> StoreReply:
+    async def handle_call_store(self, request: StoreRequest) -> StoreReply:
         """Call the platform for another router, only over the direct connection."""
         return await call_store(self._direct, request)
--- a/anvilshift/router/following.py
+++ b/anvilshift/router/following.py
@@ -9,7 +9,7 @@
 from anvilshift.core.backoff import Backoff
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.declarations import KINDS, Catalogue, Declaration
-from anvilshift.core.errors import PLATFORM_GARBAGE, AnvilshiftError
+from anvilshift.core.errors import PLATFORM_UNREADABLE, AnvilshiftError
 from anvilshift.objects.store import Body, Change, ObjectStore, Stored
 from anvilshift.settings.declarations import parse_declaration
 
@@ -30,7 +30,7 @@
     ----------
     take_catalogue
         Called with each new catalogue.
-    take_router
+    apply_router_record
         Called with the name and body of a changed router record; the body is None
         when the record was deleted.
     """
@@ -39,12 +39,12 @@
         self,
         store: ObjectStore,
         take_catalogue: Callable[[Catalogue], None],
-        take_router: Callable[[str, Body | None], None],
+        apply_router_record: Callable[[str, Body | None], None],
         rng: random.Random,
     ) -> None:
         self._store = store
         self._take_catalogue = take_catalogue
-        self._take_router = take_router
+        self._take_router = apply_router_record
         self._rng = rng
         self._backoff = Backoff()
         self._declarations: dict[tuple[str, str], Declaration] = {}
@@ -94,7 +94,7 @@
         # Revisions only grow.  A platform that answers from an outdated replica must
         # not revert declarations that were accepted.
         if listing.revision < self._revision:
-            raise AnvilshiftError(PLATFORM_GARBAGE, "the listing is outdated")
+            raise AnvilshiftError(PLATFORM_UNREADABLE, "the listing is outdated")
         old, self._declarations = self._declarations, {}
         self._unreadable = {}
         seen = set()
--- a/anvilshift/router/hooks.py
+++ b/anvilshift/router/hooks.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from anvilshift.core.escrow import Bills
+from anvilshift.core.holderaccounts import Bills
 
 KeepCopies = Callable[[str, Bills, str], Awaitable[bool]]
 """Leaves copies of a holder's bills with routers other than its witness, named last;
@@ -31,7 +31,7 @@
     """What a treasury asks of the rest of its router."""
 
     keep_copies: KeepCopies = _keep_nothing
-    keep_witnessed: KeepWitnessed = _reach_no_witness
+    store_at_witness: KeepWitnessed = _reach_no_witness
     choose_witness: Callable[[str], str] = lambda current: ""
     ask_peers: AskPeers = _ask_nobody
     count_event: Callable[[str], None] = lambda event: None
--- a/anvilshift/router/departing.py
+++ b/anvilshift/router/leavingtargets.py
@@ -28,7 +28,7 @@
 target still answers polls.  An engine that shuts down stops answering sooner."""
 
 
-class Departing:
+class LeavingTargets:
     """Targets that this router knows to be leaving.
 
     Parameters
@@ -66,13 +66,13 @@
         # Targets that are no longer declared are not polled, so no later report could
         # clear their marks.
         self._declared = frozenset().union(*self._hosts.values())
-        kept = self._departures.keep_targets((REFUSED, REPORT), self._declared)
+        kept = self._departures.restrict_targets((REFUSED, REPORT), self._declared)
         self._replace_departures(kept)
         # The dispatcher doesn't know yet that a newly declared target is leaving.
         for target in self.leaving:
             self._report_change(target, True)
 
-    def take_hosts(self, entries: Iterable[HostEntry]) -> None:
+    def apply_host_list(self, entries: Iterable[HostEntry]) -> None:
         """Update the leaving targets from the platform's list of hosts.
 
         A host that was on the list and is missing now counts as leaving.  A host
@@ -89,7 +89,7 @@
         targets = {t for host in leaving for t in self._hosts.get(host, ())}
         self._replace_departures(self._departures.take(HOST_LIST, targets))
 
-    def take_report(self, report: LoadReport) -> None:
+    def apply_load_report(self, report: LoadReport) -> None:
         """Update a target from its own report.
 
         A report shows that the target answers, and tells whether it is leaving.
@@ -115,7 +115,7 @@
                 logging.warning("host not listed but engine=%s still answers", target)
                 self._listed.discard(host)
 
-    def take_refusal(self, target: str) -> None:
+    def count_refusal(self, target: str) -> None:
         """Count a refused connection of a target.
 
         Targets that are not declared are ignored: a poll may have been in progress
@@ -131,7 +131,7 @@
         """Replace the targets that another router reports as leaving."""
         self._replace_departures(self._departures.take(f"router {router}", targets))
 
-    def keep_routers(self, routers: Iterable[str]) -> None:
+    def drop_other_routers(self, routers: Iterable[str]) -> None:
         """Drop reports of routers that are not among the given ones."""
         sources = {f"router {name}" for name in routers}
         self._replace_departures(
@@ -163,8 +163,8 @@
         await asyncio.sleep(rng.uniform(0.0, _HOSTS_INTERVAL) / SECOND)
         while True:
             try:
-                self.take_hosts(await store.hosts())
+                self.apply_host_list(await store.hosts())
             except AnvilshiftError as error:
                 logging.debug("host list not read code=%d", error.code.number)
-            self.keep_routers(routers())
+            self.drop_other_routers(routers())
             await asyncio.sleep(_HOSTS_INTERVAL / SECOND)
--- a/anvilshift/router/branch.py
+++ b/anvilshift/router/ledgerclient.py
@@ -16,7 +16,7 @@
     BUDGET_UNREACHABLE,
     AnvilshiftError,
 )
-from anvilshift.core.escrow import Escrow
+from anvilshift.core.holderaccounts import HolderAccounts
 from anvilshift.core.ledger import Commit, Ledger, Outcome
 from anvilshift.objects.cached import CachedObject
 from anvilshift.objects.ledgers import LEDGER_KIND, read_body
@@ -48,7 +48,7 @@
 early, within the allowance: the duration of one call to the witness."""
 
 
-class Branch:
+class LedgerClient:
     """The reservations, bills and group commits of one ledger object of a treasury.
 
     Parameters
@@ -70,7 +70,7 @@
         hooks: Hooks,
     ) -> None:
         self.name = name
-        self.escrow = Escrow(incarnation)
+        self.escrow = HolderAccounts(incarnation)
         self.last_ledger = Ledger()
         self._clock = clock
         self._incarnation = incarnation
@@ -99,7 +99,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
-    def platform_out(self) -> bool:
+    def platform_unavailable(self) -> bool:
         """Tell whether commits have failed, or one has been in flight, for too long."""
         now = self._clock.now()
         failing, stuck = self._failing_since, self._in_flight_since
@@ -130,7 +130,7 @@
             if self._try_reserve(account, key, tokens):
                 return
             self._raise_cached_refusal(account, tokens)
-            if self.platform_out or attempt == _MAX_REFILLS:
+            if self.platform_unavailable or attempt == _MAX_REFILLS:
                 break
             # The first commit reads how many tokens other routers hold.
             if attempt and not self.escrow.grant_states[account].elsewhere:
@@ -167,7 +167,7 @@
 
     def _refuse(self, account: str, key: str, tokens: int) -> None:
         grant_state = self.escrow.grant_states[account]
-        if self.platform_out or self._failing_since is not None:
+        if self.platform_unavailable or self._failing_since is not None:
             detail = "the platform is unavailable and this router's grant is spent"
             raise AnvilshiftError(BUDGET_UNREACHABLE, detail, 2 * SECOND)
         raise make_refusal(grant_state.refuse(key, tokens, self._clock.now()))
@@ -189,7 +189,7 @@
         outcome = self._outcomes.expect(account, bill.key)
         self._commit_requested.set()
         until = None if until is None else until - _ERROR_MARGIN
-        wait = 0.0 if self.platform_out else EARLY_RELEASE_DELAY
+        wait = 0.0 if self.platform_unavailable else EARLY_RELEASE_DELAY
         if until is not None:
             wait = min(wait, until - self._clock.now() - _RELEASE_MARGIN)
         while not outcome.done():
@@ -235,7 +235,7 @@
         # The witness must have its copy before the answer ends: otherwise, when the
         # witness closes the amount in doubt of a lost holder, tokens that this
         # answer has spent would return to the budget.
-        witness_copy = self._hooks.keep_witnessed(witness, escrow.holder, copies)
+        witness_copy = self._hooks.store_at_witness(witness, escrow.holder, copies)
         kept, _ = await asyncio.gather(witness_copy, peer_copies)
         return kept
 
@@ -323,7 +323,7 @@
             return False
         self._consecutive_failures, self._failing_since = 0, None
         if outcome.sealed:
-            self.escrow.drop_judged(outcome.bills)
+            self.escrow.drop_decided_bills(outcome.bills)
             self._outcomes.resolve(outcome.bills)
             self._replace_holder()
             return False
@@ -360,11 +360,11 @@
         self._spawn(self._submit_released(sealed))
         self._commit_requested.set()
 
-    async def _submit_released(self, sealed: Escrow) -> None:
+    async def _submit_released(self, sealed: HolderAccounts) -> None:
         released = sealed.list_released()
         while True:
             try:
-                states = await self.sealing.hand_in(
+                states = await self.sealing.submit_late_bills(
                     sealed.holder, released, sealed.holder
                 )
             except AnvilshiftError as error:
@@ -388,7 +388,7 @@
             await self._wait_next_commit()
         return self._failing_since is None
 
-    def is_settled(self) -> bool:
+    def has_no_pending_changes(self) -> bool:
         """Tell whether every bill and every return of tokens is recorded."""
         grant_states = self.escrow.grant_states.values()
         open_states = [s for s in grant_states if s.pending or s.giving]
--- a/anvilshift/router/messages.py
+++ b/anvilshift/router/messages.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from anvilshift.core.ledger import Bill
-from anvilshift.core.membership import Member, Vitals
+from anvilshift.core.membership import HeartbeatStatus, Member
 from anvilshift.peers.generated.peers_pb2 import (
     Crash,
     Heartbeat,
@@ -16,7 +16,7 @@
 
 def make_heartbeat(
     member: Member,
-    vitals: Vitals,
+    heartbeat_status: HeartbeatStatus,
     leaving_targets: Iterable[str],
     crashes: Iterable[Crash],
 ) -> Heartbeat:
@@ -33,10 +33,10 @@
         beat=member.beat,
         since=member.since,
         seen=member.seen,
-        reaches_platform=vitals.reaches_platform,
-        renewing_for_ms=vitals.renewing_for,
-        serving=vitals.serving,
-        in_flight=vitals.in_flight,
+        reaches_platform=heartbeat_status.reaches_platform,
+        renewing_for_ms=heartbeat_status.renewing_for,
+        serving=heartbeat_status.serving,
+        in_flight=heartbeat_status.in_flight,
         leaving_targets=leaving_targets,
         crashes=crashes,
     )
@@ -59,9 +59,9 @@
     )
 
 
-def read_vitals(beat: Heartbeat) -> Vitals:
+def read_vitals(beat: Heartbeat) -> HeartbeatStatus:
     """Return what a router says of itself at a heartbeat."""
-    return Vitals(
+    return HeartbeatStatus(
         beat.reaches_platform, beat.renewing_for_ms, beat.serving, beat.in_flight
     )
 
--- a/anvilshift/router/node.py
+++ b/anvilshift/router/node.py
@@ -9,33 +9,33 @@
 
 from absl import logging
 
+from anvilshift.core.addressing import Endpoint, order_entrances
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.declarations import Catalogue
 from anvilshift.core.dispatcher import Dispatcher
 from anvilshift.core.errors import AnvilshiftError
-from anvilshift.core.former import MOST_BEHIND
+from anvilshift.core.former import MAX_CHANGE_LAG
 from anvilshift.core.identity import make_identity
 from anvilshift.core.membership import Member
-from anvilshift.core.spreading import Entrance, order_entrances
-from anvilshift.core.work import Announce, DispatchSettings, LoadReport, Target
+from anvilshift.core.work import CrashAnnouncement, DispatchSettings, LoadReport, Target
 from anvilshift.objects.paced import PacedStore
+from anvilshift.router.accesscontrol import AccessControl
+from anvilshift.router.budgets import RouterBudgets
 from anvilshift.router.callers import CallerPort
-from anvilshift.router.claims import ClaimBook
-from anvilshift.router.crashes import CrashNews
-from anvilshift.router.departing import Departing
+from anvilshift.router.claims import ClaimStore
+from anvilshift.router.crashes import CrashReports
 from anvilshift.router.dispatching import DispatchLoop
 from anvilshift.router.fleet import Fleet
 from anvilshift.router.following import Follower
-from anvilshift.router.gate import Gate
+from anvilshift.router.leavingtargets import LeavingTargets
 from anvilshift.router.orders import Orders
 from anvilshift.router.permits import Permits, PermitSources
 from anvilshift.router.quarantined import QuarantineRecords
 from anvilshift.router.relayed import RelayedStore
-from anvilshift.router.relocating import Relocating
+from anvilshift.router.relocationprotocol import RelocationProtocol
 from anvilshift.router.runs import Shared
 from anvilshift.router.stopping import PlannedStop, StopSteps
 from anvilshift.router.targets import Targets
-from anvilshift.router.treasury import Treasury
 from anvilshift.router.world import World
 from anvilshift.settings.router import RouterSettings
 
@@ -58,7 +58,7 @@
             direct, world.link, world.clock, lambda: self.fleet.list_relays()
         )
         self.incarnation = f"{settings.name}-{make_identity(world.rng)[:12]}"
-        self.treasury = Treasury(
+        self.treasury = RouterBudgets(
             self.store, world.clock, self.incarnation, settings.commit_spacing
         )
         self.treasury.hooks.count_event = world.telemetry.count_event
@@ -68,8 +68,8 @@
         self.dispatcher = Dispatcher(figures, world.rng)
         self.dispatch = DispatchLoop(self.dispatcher, world.clock)
         self.targets = Targets(world.connector, world.clock)
-        self.departing = Departing(self._tell_dispatcher, world.clock)
-        self.gate = Gate()
+        self.departing = LeavingTargets(self._tell_dispatcher, world.clock)
+        self.gate = AccessControl()
         self.callers = self._make_caller_port()
         self.fleet = Fleet(
             self.store,
@@ -83,12 +83,14 @@
             direct,
         )
         self.follower = Follower(
-            self.store, self._configure, self.fleet.take_router, world.rng
+            self.store, self._configure, self.fleet.apply_router_record, world.rng
         )
         self.orders = Orders(
             self.store, world.clock, self.fleet, lambda name: self.targets.engine(name)
         )
-        self.crashes = CrashNews(world.clock, self._take_crash, self.fleet.beat_all)
+        self.crashes = CrashReports(
+            world.clock, self._take_crash, self.fleet.send_heartbeats
+        )
         self.quarantined = QuarantineRecords(self.store, world.clock)
         sources = PermitSources(
             self.fleet.member,
@@ -100,8 +102,8 @@
             settings.heartbeat,
         )
         self.permits = Permits(sources)
-        self.fleet.issue_permit = self.permits.take_permit
-        self.relocating = Relocating(
+        self.fleet.issue_permit = self.permits.handle_permit
+        self.relocating = RelocationProtocol(
             self.dispatch,
             self.dispatcher,
             world.link,
@@ -113,20 +115,20 @@
         self.dispatch.announce = self._announce
         self.dispatcher.renew = self.gate.renew
         self.crashes.take_other = self._take_other_crash
-        self.fleet.tell_crashes = self.crashes.list_told
-        self.fleet.hear_crashes = self.crashes.hear
+        self.fleet.list_crash_reports = self.crashes.list_reports_to_send
+        self.fleet.receive_crash_reports = self.crashes.hear
         self.fleet.greet = self.crashes.greet
-        self.crashes.list_standing = lambda: self.dispatcher.list_crashes(
+        self.crashes.list_quarantined = lambda: self.dispatcher.list_crashes(
             self.clock.now()
         )
-        self.fleet.at_beat = self._count_routers
-        self.fleet.at_roster = lambda: self.dispatcher.set_others(
-            bool(self.fleet.roster.sightings)
+        self.fleet.on_heartbeat = self._count_routers
+        self.fleet.on_roster_changed = lambda: self.dispatcher.set_has_others(
+            bool(self.fleet.roster.member_statuses)
         )
-        self.fleet.tell_targets = lambda: self.departing.told
-        self.fleet.hear_targets = self.departing.hear
+        self.fleet.list_leaving_targets = lambda: self.departing.told
+        self.fleet.receive_leaving_targets = self.departing.hear
         self.fleet.read_revision = lambda: self.follower.acknowledged
-        self.fleet.read_seen = lambda: self.follower.seen
+        self.fleet.read_received_revision = lambda: self.follower.seen
         self.settled = False
         self._routers = 1
         self._broken = False
@@ -143,7 +145,7 @@
             self.targets,
             world.telemetry,
         )
-        self.claims = ClaimBook(
+        self.claims = ClaimStore(
             self.store, world.clock, self.incarnation, world.rng, self._lives
         )
         return CallerPort(
@@ -178,10 +180,10 @@
         """
         await self.follower.current.wait()
         await self._recall()
-        await self.fleet.beat_all()
+        await self.fleet.send_heartbeats()
         self._count_routers()
         # One that is behind may still send a content to targets that are gone.
-        until = self.clock.now() + MOST_BEHIND
+        until = self.clock.now() + MAX_CHANGE_LAG
         while self.fleet.find_common_revision() < self.fleet.member.since:
             if self.clock.now() > until:
                 logging.warning("some router stays behind, serving beside it")
@@ -201,7 +203,7 @@
         for news in found:
             self.dispatcher.crashed(news.content, news.target, self.clock.now())
 
-    def _announce(self, news: Announce) -> None:
+    def _announce(self, news: CrashAnnouncement) -> None:
         self.crashes.announce(news)
         logging.warning(
             "engine reached without an answer content=%s engine=%s blamed=%d",
@@ -209,7 +211,7 @@
             news.target,
             news.times,
         )
-        targets = self.dispatcher.list_confined(news.content)
+        targets = self.dispatcher.list_only_targets(news.content)
         if targets and news.times:
             self.quarantined.add(news.content, targets)
 
@@ -232,19 +234,19 @@
     def list_addresses(self) -> dict[str, object]:
         """Return where callers shall connect, this router's domain first."""
         entrances = [
-            Entrance(
+            Endpoint(
                 s.member.address,
                 s.member.failure_domain,
-                s.vitals.in_flight,
+                s.heartbeat_status.in_flight,
                 s.member.leaving,
             )
             for s in self.fleet.roster.present(self.clock.now())
-            if s.vitals.serving
+            if s.heartbeat_status.serving
         ]
         own = self.fleet.member
         in_flight = self.callers.in_flight
         entrances.append(
-            Entrance(own.address, own.failure_domain, in_flight, own.leaving)
+            Endpoint(own.address, own.failure_domain, in_flight, own.leaving)
         )
         ordered = order_entrances(entrances, own.failure_domain, self.world.rng)
         addresses = [
@@ -254,7 +256,7 @@
 
     def describe(self) -> dict[str, Any]:
         """Return this router's state for operators."""
-        sightings = self.fleet.roster.sightings.values()
+        member_statuses = self.fleet.roster.member_statuses.values()
         return {
             "name": self.settings.name,
             "incarnation": self.incarnation,
@@ -265,7 +267,7 @@
             "revision": self.fleet.member.revision,
             "in_flight": self.callers.in_flight,
             "waiting": self.dispatch.waiting,
-            "peers": sorted(s.member.name for s in sightings),
+            "peers": sorted(s.member.name for s in member_statuses),
             "owns_orders": self.orders.owns,
             "leaving_targets": sorted(self.departing.leaving),
         }
@@ -280,7 +282,7 @@
             lambda event: self.dispatch.act(
                 self.dispatcher.cache_event(event, self.clock.now())
             ),
-            self.departing.take_refusal,
+            self.departing.count_refusal,
         )
         leaving = self.departing.follow(self.store, self._name_routers, self.world.rng)
         works = (
@@ -320,7 +322,7 @@
         steps = StopSteps(
             self._leave,
             self._refuse,
-            self.treasury.hand_back,
+            self.treasury.settle_all,
             lambda: self.callers.in_flight,
             self.callers.list_open,
         )
@@ -330,7 +332,7 @@
         cut_off = await stop.run()
         self.settled = stop.settled
         if not abandoned.is_set():
-            await self.fleet.witnesses.hand_on(self.treasury.copies)
+            await self.fleet.witnesses.transfer_copies(self.treasury.copies)
         return cut_off
 
     async def _leave(self) -> None:
@@ -356,11 +358,11 @@
         self.store.close()
 
     def _take_report(self, report: LoadReport) -> None:
-        self.permits.note_report(report)
+        self.permits.apply_report(report)
         # A target that is back may name a limit in the same report: what waits for it
         # is sent as soon as it counts as back.
-        self.dispatcher.learn_limit(report)
-        self.departing.take_report(report)
+        self.dispatcher.update_rate_limit(report)
+        self.departing.apply_load_report(report)
         self.dispatch.act(self.dispatcher.load_report(report, self.clock.now()))
 
     def _name_routers(self) -> set[str]:
@@ -370,7 +372,7 @@
     def _take_crash(self, content: str, target: str, age: Millis) -> None:
         self.dispatcher.crashed(content, target, self.clock.now(), age)
 
-    def _take_other_crash(self, news: Announce) -> None:
+    def _take_other_crash(self, news: CrashAnnouncement) -> None:
         now = self.clock.now()
         self.dispatcher.crashed(news.content, news.target, now, times=news.times)
 
@@ -384,7 +386,7 @@
         common = self.fleet.find_common_revision()
         self.dispatch.act(self.dispatcher.agree(common, self.clock.now()))
         present = self.fleet.roster.present(self.clock.now())
-        routers = 1 + sum(s.vitals.serving for s in present)
+        routers = 1 + sum(s.heartbeat_status.serving for s in present)
         if routers != self._routers:
             self._routers = routers
             self.dispatcher.set_routers(routers)
--- a/anvilshift/router/operations.py
+++ b/anvilshift/router/operations.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from anvilshift.core.errors import FORBIDDEN, UNKNOWN_ROUTE, AnvilshiftError
-from anvilshift.router.gate import check_token
+from anvilshift.router.accesscontrol import check_token
 from anvilshift.router.telemetry import Telemetry
 from anvilshift.wire.jsons import dump_json
 from anvilshift.wire.messages import JSON_TYPE, HttpRequest, Reply
--- a/anvilshift/router/orders.py
+++ b/anvilshift/router/orders.py
@@ -12,8 +12,8 @@
 from anvilshift.core.orders import (
     Assignment,
     Ownership,
-    compute_wait,
-    is_first,
+    compute_takeover_wait,
+    is_first_by_name,
     list_assignments,
 )
 from anvilshift.engines.engine import ModelEngine, Order
@@ -69,7 +69,9 @@
             if not self._assignments or not self._fleet.may_serve():
                 continue
             # Only the owner and its first successor read the owner object.
-            if not self.owns and not is_first(self._fleet.member, self._list_present()):
+            if not self.owns and not is_first_by_name(
+                self._fleet.member, self._list_present()
+            ):
                 continue
             try:
                 await self._check_owner()
@@ -118,7 +120,9 @@
             return
         # An owner that released had finished its orders; the orders of a lost owner
         # may still be in flight, so its successor waits.
-        wait = compute_wait(self._fleet.roster.lease) if previous.owner else 0.0
+        wait = (
+            compute_takeover_wait(self._fleet.roster.lease) if previous.owner else 0.0
+        )
         self._takeover_ends = self._clock.now() + wait
         logging.info("orders taken over fencing=%d", self.ownership.fencing)
 
--- a/anvilshift/router/permits.py
+++ b/anvilshift/router/permits.py
@@ -13,17 +13,17 @@
 from absl import logging
 
 from anvilshift.core.clock import SECOND, Clock, Millis
-from anvilshift.core.membership import Member, Roster
+from anvilshift.core.membership import Member, MemberTable
 from anvilshift.core.permits import (
-    TAKEOVER,
-    Attendance,
+    TAKEOVER_DELAY,
     Bid,
-    PermitDesk,
+    PermitQueue,
+    RouterPresence,
     State,
 )
 from anvilshift.core.pools import TargetView
 from anvilshift.core.ratelimits import SPAN
-from anvilshift.core.rationing import Want
+from anvilshift.core.targetlimits import PermitNeed
 from anvilshift.core.work import LoadReport, Send
 from anvilshift.peers.generated.peers_pb2 import PermitReply, PermitRequest, SentRun
 from anvilshift.peers.link import PeerError, PeerLink
@@ -58,7 +58,7 @@
     """
 
     own: Member
-    read_roster: Callable[[], Roster]
+    read_roster: Callable[[], MemberTable]
     link: PeerLink
     dispatch: DispatchLoop
     telemetry: Telemetry
@@ -74,9 +74,9 @@
         self._clock = sources.clock
         self._own_name = sources.own.name
         self._dispatcher = sources.dispatch.dispatcher
-        self._attendance = Attendance()
+        self._attendance = RouterPresence()
         self._attendance.note({self._own_name}, (), self._clock.now())
-        self._desks: dict[str, PermitDesk] = {}
+        self._desks: dict[str, PermitQueue] = {}
         self._request_tasks: dict[str, asyncio.Task[None]] = {}
         self._request_numbers = itertools.count()
         sources.dispatch.on_change = self.request_permits
@@ -86,16 +86,16 @@
     def note_routers(self) -> None:
         """Update which routers are connected; drop the desks whose issuer changed."""
         now = self._clock.now()
-        sightings = self._sources.read_roster().sightings.values()
+        member_statuses = self._sources.read_roster().member_statuses.values()
         heard = {
             s.member.name
-            for s in sightings
+            for s in member_statuses
             if s.heard is not None
             and now - s.heard <= _CONNECTED_HEARTBEATS * self._sources.heartbeat
         }
-        leaving = {s.member.name for s in sightings if s.member.leaving}
+        leaving = {s.member.name for s in member_statuses if s.member.leaving}
         before = self._attendance.list_issuers()
-        recorded = {s.member.name for s in sightings}
+        recorded = {s.member.name for s in member_statuses}
         present = (heard - leaving) | {self._own_name}
         if not self._attendance.note(present, leaving, now, recorded):
             return
@@ -110,7 +110,7 @@
     def _find_issuer(self, target: str) -> str:
         return self._attendance.find_issuer(target)
 
-    def note_report(self, report: LoadReport) -> None:
+    def apply_report(self, report: LoadReport) -> None:
         """Log a new, changed or ended limit before the dispatcher applies it."""
         view = self._find_view(report.target)
         if view is None:
@@ -133,13 +133,13 @@
 
     def request_permits(self) -> None:
         """Request the permits that waiting work needs."""
-        for want in self._dispatcher.list_wants():
+        for want in self._dispatcher.list_permit_needs():
             if want.target not in self._request_tasks:
                 task = asyncio.get_running_loop().create_task(self._obtain(want))
                 self._request_tasks[want.target] = task
                 task.add_done_callback(partial(self._finish_request, want))
 
-    def _finish_request(self, want: Want, task: asyncio.Task[None]) -> None:
+    def _finish_request(self, want: PermitNeed, task: asyncio.Task[None]) -> None:
         self._request_tasks.pop(want.target, None)
         if task.cancelled():
             return
@@ -148,11 +148,13 @@
             return
         self.request_permits()
 
-    async def _obtain(self, want: Want) -> None:
+    async def _obtain(self, want: PermitNeed) -> None:
         """Repeat the request until a permit is granted or refused, or isn't needed."""
         run = f"{self._sources.own.incarnation}/{next(self._request_numbers)}"
         began = self._clock.now()
-        while any(w.target == want.target for w in self._dispatcher.list_wants()):
+        while any(
+            w.target == want.target for w in self._dispatcher.list_permit_needs()
+        ):
             requested_at = self._clock.now()
             reply = await self._request_permit(want, run, began)
             now = self._clock.now()
@@ -180,12 +182,14 @@
             if now - requested_at < _CHECK_INTERVAL:
                 await asyncio.sleep(_CHECK_INTERVAL / SECOND)
 
-    async def _request_permit(self, want: Want, run: str, began: Millis) -> PermitReply:
+    async def _request_permit(
+        self, want: PermitNeed, run: str, began: Millis
+    ) -> PermitReply:
         issuer = self._find_issuer(want.target)
         request = self._make_request(want, run, began)
         if issuer == self._own_name:
-            return await self.take_permit(request)
-        sighting = self._sources.read_roster().sightings.get(issuer)
+            return await self.handle_permit(request)
+        sighting = self._sources.read_roster().member_statuses.get(issuer)
         if sighting is None:
             return PermitReply(state=State.REFUSED.value)
         try:
@@ -196,7 +200,7 @@
             await asyncio.sleep(_RETRY_DELAY / SECOND)
             return PermitReply(state=State.QUEUED.value)
 
-    def _make_request(self, want: Want, run: str, began: Millis) -> PermitRequest:
+    def _make_request(self, want: PermitNeed, run: str, began: Millis) -> PermitRequest:
         now, view = self._clock.now(), self._find_view(want.target)
         sends = view.meter.list_since(now - SPAN) if view else []
         return PermitRequest(
@@ -215,7 +219,7 @@
 
     # Permits that this router issues
 
-    async def take_permit(self, request: PermitRequest) -> PermitReply:
+    async def handle_permit(self, request: PermitRequest) -> PermitReply:
         """Answer a request when a permit is available, or when the long poll ends."""
         view = self._find_view(request.target)
         if view is None or self._find_issuer(request.target) != self._own_name:
@@ -263,11 +267,11 @@
         share = self._attendance.find_part(now)
         return min(rates) * share if rates else None
 
-    def _find_desk(self, view: TargetView) -> PermitDesk:
+    def _find_desk(self, view: TargetView) -> PermitQueue:
         name = view.target.name
         desk = self._desks.get(name)
         if desk is None or not desk.is_of(view.meter):
-            desk = PermitDesk(view.meter, self._clock.now() + TAKEOVER)
+            desk = PermitQueue(view.meter, self._clock.now() + TAKEOVER_DELAY)
             self._desks[name] = desk
         return desk
 
--- a/anvilshift/router/fates.py
+++ b/anvilshift/router/progress.py
@@ -6,7 +6,7 @@
     NOT_RECORDED,
     PAST_DEADLINE,
     AnvilshiftError,
-    Fate,
+    ExecutionState,
 )
 
 
@@ -35,13 +35,13 @@
         or too little time, the refusal says *not run*, although the first attempt
         may have run.
         """
-        if self.ran and error.code.fate is not Fate.RAN:
+        if self.ran and error.code.fate is not ExecutionState.RAN:
             return AnvilshiftError(NOT_RECORDED, error.detail, error.retry_after)
-        if self.sent and error.code.fate is Fate.NOT_RUN:
+        if self.sent and error.code.fate is ExecutionState.NOT_RUN:
             return AnvilshiftError(ENGINE_FAILED, error.detail, error.retry_after)
         return error
 
-    def tell_late(self) -> AnvilshiftError:
+    def make_deadline_error(self) -> AnvilshiftError:
         """Return the error for work whose deadline has passed."""
         code = ANSWER_LATE if self.sent else PAST_DEADLINE
         return self.tell(AnvilshiftError(code))
--- a/anvilshift/router/quarantined.py
+++ b/anvilshift/router/quarantined.py
@@ -13,8 +13,8 @@
 
 from anvilshift.core.clock import SECOND, Clock, Millis
 from anvilshift.core.errors import AnvilshiftError
-from anvilshift.core.exposure import FORGET_AFTER
-from anvilshift.core.work import Announce
+from anvilshift.core.exposure import CHARGE_LIFETIME
+from anvilshift.core.work import CrashAnnouncement
 from anvilshift.objects.records import decode, encode
 from anvilshift.objects.store import ObjectStore, Stored, update
 
@@ -38,7 +38,7 @@
 
     def is_expired(self, now: int) -> bool:
         """Tell whether the record has expired at a wall-clock second."""
-        return now - self.at > FORGET_AFTER / SECOND
+        return now - self.at > CHARGE_LIFETIME / SECOND
 
 
 class QuarantineRecords:
@@ -77,7 +77,7 @@
                 logging.warning("quarantine not recorded code=%d", error.code.number)
                 await asyncio.sleep(_RETRY_PAUSE / SECOND)
 
-    async def read(self) -> list[Announce]:
+    async def read(self) -> list[CrashAnnouncement]:
         """Return the recorded crashes, and delete the records that have expired.
 
         Raises
@@ -86,7 +86,7 @@
             When the platform can't be reached.
         """
         listing = await self._store.list([QUARANTINE_KIND])
-        found: list[Announce] = []
+        found: list[CrashAnnouncement] = []
         for item in listing.items:
             record = self._decode_record(item)
             if record is None:
@@ -94,7 +94,9 @@
             if record.is_expired(self._clock.wall()):
                 await self._delete(item)
                 continue
-            found += [Announce(record.content, target) for target in record.targets]
+            found += [
+                CrashAnnouncement(record.content, target) for target in record.targets
+            ]
         return found
 
     def _decode_record(self, item: Stored) -> QuarantineRecord | None:
--- a/anvilshift/router/registry.py
+++ b/anvilshift/router/registry.py
@@ -57,7 +57,7 @@
         if found is not None:
             if found.job.content != job.content:
                 raise AnvilshiftError(KEY_REUSED)
-            if found.error is None and goes_on(found, job):
+            if found.error is None and continues_received(found, job):
                 return found
         if job.resume_from != len(job.received):
             raise AnvilshiftError(
@@ -83,7 +83,7 @@
         run = self._runs.get(job.identity)
         if run is None or run.ended or run.job.content != job.content:
             return False
-        return goes_on(run, job)
+        return continues_received(run, job)
 
     async def find_claimed(self, identity: str) -> Run:
         """Wait until claimed work with this identity runs here; return its run."""
@@ -119,7 +119,7 @@
                 del self._runs[oldest.job.identity]
 
 
-def goes_on(found: Run, job: Job) -> bool:
+def continues_received(found: Run, job: Job) -> bool:
     """Tell whether a run's text continues the text that the caller has received."""
     if job.received:
         return found.text.starts_with(job.received)
--- a/anvilshift/router/relayed.py
+++ b/anvilshift/router/relayed.py
@@ -13,7 +13,7 @@
     CODES,
     CONFLICT,
     PLATFORM_DOWN,
-    PLATFORM_GARBAGE,
+    PLATFORM_UNREADABLE,
     AnvilshiftError,
 )
 from anvilshift.objects.records import decode
@@ -234,11 +234,11 @@
     if reply.code == CONFLICT.number:
         raise ConflictError(f"{'/'.join(request.kinds)}/{request.name}")
     if reply.code:
-        raise AnvilshiftError(CODES.get(reply.code, PLATFORM_GARBAGE), reply.detail)
+        raise AnvilshiftError(CODES.get(reply.code, PLATFORM_UNREADABLE), reply.detail)
     try:
         return json.loads(reply.value)
     except ValueError as error:
-        raise AnvilshiftError(PLATFORM_GARBAGE) from error
+        raise AnvilshiftError(PLATFORM_UNREADABLE) from error
 
 
 async def call_store(store: ObjectStore, request: StoreRequest) -> StoreReply:
@@ -251,7 +251,7 @@
         return StoreReply(code=error.code.number, detail=error.detail)
     except (ValueError, IndexError) as error:
         logging.warning("a peer's store call can't be read: %s", error)
-        return StoreReply(code=PLATFORM_GARBAGE.number)
+        return StoreReply(code=PLATFORM_UNREADABLE.number)
     return StoreReply(value=dump_json(value))
 
 
--- a/anvilshift/router/relocating.py
+++ b/anvilshift/router/relocationprotocol.py
@@ -13,7 +13,7 @@
 
 from anvilshift.core.clock import Clock
 from anvilshift.core.dispatcher import Dispatcher
-from anvilshift.core.membership import Roster
+from anvilshift.core.membership import MemberTable
 from anvilshift.core.work import Ask
 from anvilshift.peers.generated.peers_pb2 import RelocateReply, RelocateRequest
 from anvilshift.peers.link import PeerError, PeerLink
@@ -29,7 +29,7 @@
 
 
 @dataclass
-class Relocating:
+class RelocationProtocol:
     """Coordinator and participant of relocations at one router.
 
     Parameters
@@ -42,7 +42,7 @@
     dispatcher: Dispatcher
     link: PeerLink
     clock: Clock
-    read_roster: Callable[[], Roster]
+    read_roster: Callable[[], MemberTable]
     _known_incarnations: dict[str, str] = field(default_factory=dict)
     _tasks: set[asyncio.Task[bool]] = field(default_factory=set)
 
@@ -52,21 +52,23 @@
         A router is lost when its record disappeared or names another incarnation,
         unless the router announced before that it was leaving.
         """
-        sightings = self.read_roster().sightings.values()
+        member_statuses = self.read_roster().member_statuses.values()
         staying = {
             sighting.member.name: sighting.member
-            for sighting in sightings
+            for sighting in member_statuses
             if not sighting.member.leaving
         }
         leaving = {
-            sighting.member.name for sighting in sightings if sighting.member.leaving
+            sighting.member.name
+            for sighting in member_statuses
+            if sighting.member.leaving
         }
         for name, incarnation in self._known_incarnations.items():
             member = staying.get(name)
             replaced = member is not None and member.incarnation != incarnation
             if replaced or (member is None and name not in leaving):
                 logging.info("router lost name=%s incarnation=%s", name, incarnation)
-                self.dispatcher.note_lost_router(self.clock.now())
+                self.dispatcher.record_lost_router(self.clock.now())
         self._known_incarnations = {
             name: member.incarnation for name, member in staying.items()
         }
@@ -104,7 +106,7 @@
     def _list_incarnations(self) -> dict[str, str]:
         """Return the peer address of each router's incarnation."""
         members = [
-            sighting.member for sighting in self.read_roster().sightings.values()
+            sighting.member for sighting in self.read_roster().member_statuses.values()
         ]
         return {member.incarnation: member.peer_address for member in members}
 
--- a/anvilshift/router/runs.py
+++ b/anvilshift/router/runs.py
@@ -19,16 +19,16 @@
     AnvilshiftError,
 )
 from anvilshift.core.transcripts import Transcript
-from anvilshift.core.work import NEVER_RAN, Failure, Send, Work
+from anvilshift.core.work import NOT_EXECUTED, Failure, Send, Work
 from anvilshift.engines.engine import ModelCall, Piece, Usage
 from anvilshift.engines.http import LateAnswerError, TargetError
+from anvilshift.router.budgets import RouterBudgets
 from anvilshift.router.dispatching import DispatchLoop
-from anvilshift.router.fates import Progress
+from anvilshift.router.progress import Progress
 from anvilshift.router.requests import Job, digest
 from anvilshift.router.silence import WATCH, watch
 from anvilshift.router.targets import Targets
 from anvilshift.router.telemetry import Telemetry
-from anvilshift.router.treasury import Treasury
 
 RESUME_GRACE: Millis = 2 * SECOND
 """How long a run with an idempotency key continues without a reader.  A caller that
@@ -44,7 +44,7 @@
 
     incarnation: str
     clock: Clock
-    treasury: Treasury
+    treasury: RouterBudgets
     dispatch: DispatchLoop
     targets: Targets
     telemetry: Telemetry
@@ -166,7 +166,7 @@
         except AnvilshiftError as error:
             self.error = self._progress.tell(error)
         except TimeoutError:
-            self.error = self._progress.tell_late()
+            self.error = self._progress.make_deadline_error()
         except asyncio.CancelledError:
             stopped = AnvilshiftError(OVERLOADED, "the run was stopped", SECOND)
             self.error = self._progress.tell(stopped)
@@ -226,7 +226,7 @@
             except TargetError as error:
                 self._record_failure(send, error)
                 failure = error.failure
-            if failure in NEVER_RAN:
+            if failure in NOT_EXECUTED:
                 self._progress.sent = sent_before
             send = await dispatch.retry(self.job.identity, failure)
 
--- a/anvilshift/router/sealing.py
+++ b/anvilshift/router/sealing.py
@@ -5,7 +5,7 @@
 
 from anvilshift.core.account import BillState
 from anvilshift.core.clock import Clock
-from anvilshift.core.escrow import Bills
+from anvilshift.core.holderaccounts import Bills
 from anvilshift.core.ledger import BillKey, Ledger
 from anvilshift.objects.cached import CachedObject
 from anvilshift.objects.ledgers import change_body
@@ -36,7 +36,7 @@
         self._lock = lock
         self._clock = clock
 
-    async def hand_in(
+    async def submit_late_bills(
         self, holder: str, bills: Bills, closer: str = ""
     ) -> Mapping[BillKey, BillState]:
         """Record bills whose answers a sealed holder completed within its allowance."""
@@ -44,7 +44,7 @@
 
         def change(ledger: Ledger) -> Ledger:
             nonlocal states
-            ledger, states = ledger.hand_in(holder, bills, closer)
+            ledger, states = ledger.submit_late_bills(holder, bills, closer)
             return ledger
 
         async with self._lock:
--- a/anvilshift/router/services.py
+++ b/anvilshift/router/services.py
@@ -10,9 +10,9 @@
 from anvilshift.core.clock import SECOND
 from anvilshift.core.errors import AnvilshiftError
 from anvilshift.core.identity import make_identity
-from anvilshift.core.work import NEVER_RAN, Failure, Send, Work
+from anvilshift.core.work import NOT_EXECUTED, Failure, Send, Work
 from anvilshift.engines.http import TargetError
-from anvilshift.router.fates import Progress
+from anvilshift.router.progress import Progress
 from anvilshift.router.requests import KEY_HEADER, Job, digest
 from anvilshift.router.runs import Shared
 from anvilshift.wire.messages import Fields, HttpRequest
@@ -59,7 +59,7 @@
         try:
             return await self._run(work)
         except TimeoutError as cause:
-            error = self._progress.tell_late()
+            error = self._progress.make_deadline_error()
             raise error from cause
         except AnvilshiftError as cause:
             error = self._progress.tell(cause)
@@ -114,7 +114,7 @@
                 return answer
             except TargetError as error:
                 failure = error.failure
-                if failure in NEVER_RAN:
+                if failure in NOT_EXECUTED:
                     self._progress.sent = sent_before
             send = await dispatch.retry(self._turn, failure)
 
--- a/anvilshift/router/targets.py
+++ b/anvilshift/router/targets.py
@@ -92,9 +92,9 @@
 
     async def poll(
         self,
-        take_report: Callable[[LoadReport], None],
+        apply_load_report: Callable[[LoadReport], None],
         take_event: Callable[[CacheEvent], None],
-        take_refusal: Callable[[str], None],
+        count_refusal: Callable[[str], None],
     ) -> None:
         """Poll every engine's load and cache events until cancelled.
 
@@ -108,7 +108,7 @@
                 for name, engine in self._engines.items():
                     if name not in polls:
                         work = self._poll_one(
-                            name, engine, take_report, take_event, take_refusal
+                            name, engine, apply_load_report, take_event, count_refusal
                         )
                         polls[name] = asyncio.create_task(work)
                 await asyncio.sleep(REPORT_INTERVAL / SECOND)
@@ -124,14 +124,14 @@
         self,
         name: str,
         engine: ModelEngine,
-        take_report: Callable[[LoadReport], None],
+        apply_load_report: Callable[[LoadReport], None],
         take_event: Callable[[CacheEvent], None],
-        take_refusal: Callable[[str], None],
+        count_refusal: Callable[[str], None],
     ) -> None:
         try:
             report = await engine.load()
             self._record_answer(name)
-            take_report(replace(report, as_of=self._clock.now() - report.as_of))
+            apply_load_report(replace(report, as_of=self._clock.now() - report.as_of))
             if self._poll_counts[name] % _POLLS_PER_EVENT_READ == 0:
                 for event in await engine.cache_events(
                     self._event_sequences.get(name, 0)
@@ -145,7 +145,7 @@
                 # The engine responded, though without a report.
                 self._record_answer(name)
             if error.failure is Failure.NOT_SENT:
-                take_refusal(name)
+                count_refusal(name)
         except AnvilshiftError as error:
             logging.debug("no report engine=%s code=%d", name, error.code.number)
 
--- a/anvilshift/standins/memory.py
+++ b/anvilshift/standins/memory.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from anvilshift.core.clock import SECOND, Clock, Millis
-from anvilshift.core.errors import PLATFORM_DOWN, PLATFORM_GARBAGE, AnvilshiftError
+from anvilshift.core.errors import PLATFORM_DOWN, PLATFORM_UNREADABLE, AnvilshiftError
 from anvilshift.objects.store import (
     Body,
     Change,
@@ -170,7 +170,7 @@
             raise ConflictError(f"{kind}/{name}", found)
         text = json.dumps(body)
         if len(text) > MAX_VALUE_BYTES:
-            raise AnvilshiftError(PLATFORM_GARBAGE, f"{kind}/{name} is too large")
+            raise AnvilshiftError(PLATFORM_UNREADABLE, f"{kind}/{name} is too large")
         self.revision += 1
         if body is None:
             self._objects.pop((kind, name), None)
--- a/bench/budgets.py
+++ b/bench/budgets.py
@@ -20,12 +20,12 @@
 from anvilshift.core.clock import Millis
 from anvilshift.core.declarations import Budget
 from anvilshift.core.errors import AnvilshiftError
-from anvilshift.core.escrow import Escrow
+from anvilshift.core.holderaccounts import HolderAccounts
 from anvilshift.core.ledger import Bill, Ledger
 from anvilshift.objects import ledgers
 from anvilshift.objects.records import decode
 from anvilshift.objects.store import update
-from anvilshift.router.treasury import LEDGER_KIND, LEDGER_NAME, Treasury
+from anvilshift.router.budgets import LEDGER_KIND, LEDGER_NAME, RouterBudgets
 from anvilshift.standins.memory import MemoryStore
 from anvilshift.standins.virtual import VirtualClock, run_virtual
 
@@ -99,7 +99,7 @@
 
     def __init__(self, store: MemoryStore, name: str) -> None:
         self._store = store.view(name)
-        self._escrow = Escrow(name)
+        self._escrow = HolderAccounts(name)
         self._lock = asyncio.Lock()
 
     async def _commit(self) -> None:
@@ -141,7 +141,7 @@
 class ShareTeller:
     """Spend from an own share of each budget; nobody else reaches it."""
 
-    def __init__(self, treasury: Treasury, number: int) -> None:
+    def __init__(self, treasury: RouterBudgets, number: int) -> None:
         self._treasury = treasury
         self._number = number
 
@@ -171,7 +171,7 @@
     load: Load
     store: MemoryStore = field(default_factory=MemoryStore)
     tellers: list[Teller] = field(default_factory=list)
-    treasuries: list[Treasury] = field(default_factory=list)
+    treasuries: list[RouterBudgets] = field(default_factory=list)
     left: dict[str, int] = field(default_factory=dict)
     received: dict[str, int] = field(default_factory=dict)
     served: int = 0
@@ -212,7 +212,7 @@
         if self.way == "a write a request":
             return WriteTeller(self.store, f"r{number}")
         view = self.store.view(f"r{number}")
-        treasury = Treasury(view, VirtualClock(), f"r{number}-a", SPACING)
+        treasury = RouterBudgets(view, VirtualClock(), f"r{number}-a", SPACING)
         self.treasuries.append(treasury)
         names = [f"b{n}" for n in range(self.load.budgets)]
         if self.way == "fixed shares":
@@ -226,7 +226,7 @@
         if self.way == "escrow, witnessed":
             witness = (number + 1) % ROUTERS
             treasury.hooks.choose_witness = lambda _: f"r{witness}-a"
-            treasury.hooks.keep_witnessed = self._keep_witnessed
+            treasury.hooks.store_at_witness = self._keep_witnessed
         return treasury
 
     async def _ask(self, number: int, account: str) -> None:
--- a/bench/ledgers.py
+++ b/bench/ledgers.py
@@ -1,6 +1,6 @@
 """What ledgers and grants cost by size, measured in one process."""
 
-from anvilshift.core.escrow import Escrow
+from anvilshift.core.holderaccounts import HolderAccounts
 from anvilshift.core.ledger import Bill, Commit, Draw, Grant, Ledger, Outcome
 from anvilshift.objects.records import decode, encode
 from anvilshift.wire.jsons import dump_json
@@ -70,9 +70,9 @@
     return float(len(dump_json(encode(make_ledger(1, bills=size)))))
 
 
-def make_escrow(size: int) -> Escrow:
+def make_escrow(size: int) -> HolderAccounts:
     """Return a holder with a grant of each of many budgets."""
-    escrow = Escrow("router-0000-0123456789ab")
+    escrow = HolderAccounts("router-0000-0123456789ab")
     for index in range(size):
         escrow.open(f"budget-{index:05}", 2_000, 20_000)
     commit = escrow.begin_commit()
--- a/bench/load/runs.py
+++ b/bench/load/runs.py
@@ -7,10 +7,10 @@
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.work import (
     Actions,
-    Announce,
     Ask,
     CacheEvent,
     Cancel,
+    CrashAnnouncement,
     DispatchSettings,
     Failure,
     LoadReport,
@@ -234,7 +234,7 @@
                 self._refuse(action)
             elif isinstance(action, Cancel):
                 self._stop_attempt(action)
-            elif isinstance(action, Announce):
+            elif isinstance(action, CrashAnnouncement):
                 self._announce(number, action)
             elif isinstance(action, Ask):
                 self._ask(number, action)
@@ -255,7 +255,7 @@
         self._ticks[number] = None
         self._act(number, self._routers[number].tick(self._timeline.now))
 
-    def _announce(self, number: int, news: Announce) -> None:
+    def _announce(self, number: int, news: CrashAnnouncement) -> None:
         def tell() -> None:
             for other in self._alive:
                 if other != number:
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -26,12 +26,12 @@
 from anvilshift.core.ledger import Ledger
 from anvilshift.core.pools import Pool, TargetView
 from anvilshift.core.quarantine import Quarantine
-from anvilshift.core.reach import Reach
+from anvilshift.core.restriction import TargetRestriction
 from anvilshift.core.work import Work
 from anvilshift.router import claims
+from anvilshift.router.budgets import RouterBudgets
 from anvilshift.router.fleet import Fleet
 from anvilshift.router.node import Node
-from anvilshift.router.treasury import Treasury
 from bench.soak.course import Course
 from bench.soak.drawn import draw_course
 from bench.soak.journal import BrokenInvariantError
@@ -93,7 +93,7 @@
 
 def _bill_by_attempt(settle: Any) -> Any:
     async def settle_attempt(
-        self: Treasury, account: str, key: str, *rest: Any, **named: Any
+        self: RouterBudgets, account: str, key: str, *rest: Any, **named: Any
     ) -> None:
         attempt = f"{key}-{next(_ATTEMPTS)}"
         self.release(account, key)
@@ -118,8 +118,8 @@
 @contextlib.contextmanager
 def _forget_lost_routers() -> Iterator[None]:
     with (
-        mock.patch.object(Treasury, "seal", _do_nothing),
-        mock.patch.object(Treasury, "sweep", _do_nothing),
+        mock.patch.object(RouterBudgets, "seal", _do_nothing),
+        mock.patch.object(RouterBudgets, "sweep", _do_nothing),
     ):
         yield
 
@@ -137,8 +137,8 @@
 def _send_before_limits() -> Iterator[None]:
     # Where each content has two engines, too few wait for one to break its limit.
     with (
-        mock.patch.object(Reach, "list_allowed", lambda *_: None),
-        mock.patch.object(Dispatcher, "learn_limit", lambda *_: None),
+        mock.patch.object(TargetRestriction, "list_allowed", lambda *_: None),
+        mock.patch.object(Dispatcher, "update_rate_limit", lambda *_: None),
     ):
         yield
 
@@ -146,16 +146,16 @@
 @contextlib.contextmanager
 def _trust_blame_alone() -> Iterator[None]:
     with (
-        mock.patch.object(Reach, "list_allowed", lambda *_: None),
-        mock.patch.object(Exposure, "list_reached", lambda *_: []),
-        mock.patch.object(Exposure, "list_confined", lambda *_: []),
+        mock.patch.object(TargetRestriction, "list_allowed", lambda *_: None),
+        mock.patch.object(Exposure, "list_charged_targets", lambda *_: []),
+        mock.patch.object(Exposure, "list_only_targets", lambda *_: []),
     ):
         yield
 
 
-def _go_on_to_any(self: Reach, work: Work, pool: Pool, now: Millis) -> Any:
+def _go_on_to_any(self: TargetRestriction, work: Work, pool: Pool, now: Millis) -> Any:
     """Let a content go to any target first, and then to the next in use."""
-    reached = self._state.quarantine.list_reached(work.content)
+    reached = self._state.quarantine.list_charged_targets(work.content)
     if len(reached) >= TARGETS:
         return tuple(reached)
     if not reached:
@@ -184,12 +184,12 @@
     Mutant(
         "a request is billed by attempt",
         ("billed exactly once", "spent is", "bills are of requests"),
-        _wrap(Treasury, "settle", _bill_by_attempt),
+        _wrap(RouterBudgets, "settle", _bill_by_attempt),
     ),
     Mutant(
         "an answer ends without its bill",
         ("answer is billed",),
-        _replace(Treasury, "settle", _do_nothing),
+        _replace(RouterBudgets, "settle", _do_nothing),
     ),
     Mutant(
         "lost routers are not sealed",
@@ -204,7 +204,7 @@
     Mutant(
         "work runs without a claim",
         ("order runs at most once",),
-        _replace(claims.ClaimBook, "_claim", _grant_any_claim),
+        _replace(claims.ClaimStore, "_claim", _grant_any_claim),
     ),
     Mutant(
         "any claim may be run again",
@@ -246,19 +246,19 @@
     Mutant(
         "a content goes on to the next engine in use",
         ("poison",),
-        _replace(Reach, "list_allowed", _go_on_to_any),
+        _replace(TargetRestriction, "list_allowed", _go_on_to_any),
         courses=("7030",),
     ),
     Mutant(
         "the same in the first second of a cut",
         ("poison",),
-        _replace(Reach, "list_allowed", _go_on_to_any),
+        _replace(TargetRestriction, "list_allowed", _go_on_to_any),
         courses=("8012",),
     ),
     Mutant(
         "the same where routers know different things",
         ("poison",),
-        _replace(Reach, "list_allowed", _go_on_to_any),
+        _replace(TargetRestriction, "list_allowed", _go_on_to_any),
         courses=(DRAWN,),
     ),
     Mutant(
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -24,7 +24,7 @@
 )
 from anvilshift.core.dispatcher import Dispatcher
 from anvilshift.core.labels import Selector
-from anvilshift.core.membership import Member, Roster, Vitals
+from anvilshift.core.membership import HeartbeatStatus, Member, MemberTable
 from anvilshift.core.work import DispatchSettings, LoadReport, Target, Work
 from anvilshift.engines.http import HttpConnector
 from anvilshift.peers.generated.peers_pb2 import Heartbeat
@@ -58,9 +58,9 @@
     )
 
 
-def make_roster(size: int) -> Roster:
+def make_roster(size: int) -> MemberTable:
     """Return the fleet as one of its routers sees it."""
-    roster = Roster(lease=5_000.0)
+    roster = MemberTable(lease=5_000.0)
     for index in range(size):
         roster = roster.record(make_member(index), 0.0)
     return roster
@@ -73,7 +73,7 @@
     def work() -> None:
         heard = roster
         for index in range(size):
-            heard = heard.hear(make_member(index), Vitals(in_flight=10), 1.0)
+            heard = heard.hear(make_member(index), HeartbeatStatus(in_flight=10), 1.0)
 
     return time_micros(work)
 
@@ -98,7 +98,7 @@
 class _Echo:
     """Answer a heartbeat with the same."""
 
-    async def take_beat(self, beat: Heartbeat) -> Heartbeat:
+    async def handle_heartbeat(self, beat: Heartbeat) -> Heartbeat:
         return beat
 
 
--- a/bench/soak/network.py
+++ b/bench/soak/network.py
@@ -118,26 +118,26 @@
 
     async def beat(self, address: str, beat: Heartbeat) -> Heartbeat:
         """Exchange heartbeats."""
-        reply: Heartbeat = await self._call(address, "take_beat", beat)
+        reply: Heartbeat = await self._call(address, "handle_heartbeat", beat)
         return reply
 
     async def keep(self, address: str, request: KeepRequest) -> KeepReply:
         """Leave copies of bills."""
-        reply: KeepReply = await self._call(address, "take_copies", request)
+        reply: KeepReply = await self._call(address, "handle_keep", request)
         return reply
 
     async def give_back(self, address: str, request: GiveBackRequest) -> GiveBackReply:
         """Ask for unused tokens."""
-        reply: GiveBackReply = await self._call(address, "take_give_back", request)
+        reply: GiveBackReply = await self._call(address, "handle_give_back", request)
         return reply
 
     def __getattr__(self, name: str) -> Callable[..., Any]:
-        """Carry any later call of the link: `x` becomes the handler's `take_x`."""
+        """Carry any later call of the link: `x` becomes the handler's `handle_x`."""
         if name.startswith("_"):
             raise AttributeError(name)
 
         async def call(address: str, message: Any) -> Any:
-            return await self._call(address, f"take_{name}", message)
+            return await self._call(address, f"handle_{name}", message)
 
         return call
 
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -17,7 +17,7 @@
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.ledger import Ledger
 from anvilshift.operator.platformside import top_up
-from anvilshift.router.gate import hash_token
+from anvilshift.router.accesscontrol import hash_token
 from anvilshift.router.node import Node, World
 from anvilshift.router.requests import digest
 from anvilshift.router.telemetry import Telemetry
--- a/tests/core/test_keepers.py
+++ b/tests/core/test_allocators.py
@@ -1,6 +1,6 @@
 import unittest
 
-from anvilshift.core.keepers import KeeperMap, list_keepers
+from anvilshift.core.allocators import AllocatorMap, list_allocators
 
 ROUTERS = [f"router-{n}" for n in range(32)]
 ORGANISATIONS = [f"organisation-{n}" for n in range(24)]
@@ -12,36 +12,38 @@
 
         All shares are in one object, which changes by conditional update.
         """
-        found = {k for name in ORGANISATIONS for k in list_keepers(name, ROUTERS)}
+        found = {k for name in ORGANISATIONS for k in list_allocators(name, ROUTERS)}
         self.assertEqual(len(found), 4)
 
     def test_every_router_computes_the_same_keepers(self):
         for name in ORGANISATIONS:
-            shuffled = list_keepers(name, list(reversed(ROUTERS)))
-            self.assertEqual(list_keepers(name, ROUTERS), shuffled)
+            shuffled = list_allocators(name, list(reversed(ROUTERS)))
+            self.assertEqual(list_allocators(name, ROUTERS), shuffled)
 
     def test_the_second_keeper_becomes_first_when_the_first_leaves(self):
         for name in ORGANISATIONS:
-            first, second = list_keepers(name, ROUTERS[:4])
+            first, second = list_allocators(name, ROUTERS[:4])
             left = [one for one in ROUTERS[:4] if one != first]
-            self.assertEqual(list_keepers(name, left)[0], second)
+            self.assertEqual(list_allocators(name, left)[0], second)
 
     def test_the_keepers_stay_when_another_router_leaves(self):
-        kept = {k for name in ORGANISATIONS for k in list_keepers(name, ROUTERS)}
+        kept = {k for name in ORGANISATIONS for k in list_allocators(name, ROUTERS)}
         gone = next(one for one in ROUTERS if one not in kept)
         left = [one for one in ROUTERS if one != gone]
         for name in ORGANISATIONS:
-            self.assertEqual(list_keepers(name, ROUTERS), list_keepers(name, left))
+            self.assertEqual(
+                list_allocators(name, ROUTERS), list_allocators(name, left)
+            )
 
 
 class KeeperMapTest(unittest.TestCase):
     def test_a_single_router_is_the_first_keeper_of_everything(self):
-        keepers = KeeperMap("r1")
-        self.assertEqual(keepers.find_rank("pounds"), 0)
-        self.assertEqual(keepers.list_others("pounds"), ())
+        allocators = AllocatorMap("r1")
+        self.assertEqual(allocators.find_rank("pounds"), 0)
+        self.assertEqual(allocators.list_others("pounds"), ())
 
     def test_ranks_are_computed_from_the_live_routers(self):
-        maps = [KeeperMap(name) for name in ROUTERS[:3]]
+        maps = [AllocatorMap(name) for name in ROUTERS[:3]]
         for one in maps:
             self.assertTrue(one.set_routers(set(ROUTERS[:3])))
             self.assertFalse(one.set_routers(set(ROUTERS[:3])))
--- a/tests/core/test_allotments.py
+++ b/tests/core/test_allotments.py
@@ -3,8 +3,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from anvilshift.core.allotments import Allotment, Allotments, Share, Totals, Wish
-from anvilshift.core.usage import Spent
+from anvilshift.core.allotments import (
+    Allotment,
+    Allotments,
+    Share,
+    ShareRequest,
+    Totals,
+)
+from anvilshift.core.usage import SpendingBounds
 
 POUNDS = "pounds"
 
@@ -13,7 +19,7 @@
     allotments: Allotments, holder: str, ceiling: int, spent: int = 0, **rest: int
 ) -> Allotments:
     totals = Totals(rest.get("version", 1), {POUNDS: rest.get("total", 1_000)})
-    wish = Wish(ceiling, rest.get("least", spent), spent)
+    wish = ShareRequest(ceiling, rest.get("least", spent), spent)
     return allotments.grant(holder, {POUNDS: wish}, totals)
 
 
@@ -64,7 +70,7 @@
 
     def test_a_holder_that_reports_its_spending_leaves_no_doubt(self):
         found = grant(Allotments(), "r1", ceiling=400, least=400)
-        found = found.end("r1", {POUNDS: Spent(150, 150)})
+        found = found.end("r1", {POUNDS: SpendingBounds(150, 150)})
         self.assertEqual(found.of(POUNDS), Allotment(1_000, 1, 150, 0, {}))
 
     def test_ending_a_holder_twice_counts_it_once(self):
--- a/tests/core/test_wallet.py
+++ b/tests/core/test_balances.py
@@ -1,15 +1,15 @@
 import unittest
 
 from anvilshift.core.allotments import Allotment, Allotments, Share
+from anvilshift.core.balances import Balances
 from anvilshift.core.cushions import Balance
 from anvilshift.core.usage import Use, UseRecord
-from anvilshift.core.wallet import Wallet
 
 POUNDS = "pounds"
 
 
-def make_wallet(ceiling: int, total: int = 10_000, now: float = 0.0) -> Wallet:
-    wallet = Wallet("r1")
+def make_wallet(ceiling: int, total: int = 10_000, now: float = 0.0) -> Balances:
+    wallet = Balances("r1")
     wallet.configure({POUNDS: total}, now)
     shares = {"r1": Share(ceiling, 0)}
     wallet.take(Allotments({POUNDS: Allotment(total, 1, shares=shares)}), now)
@@ -32,7 +32,7 @@
         self.assertEqual(wallet.balances[POUNDS].spent, 80)
 
     def test_an_organisation_without_a_total_is_not_limited(self):
-        wallet = Wallet("r1")
+        wallet = Balances("r1")
         wallet.configure({POUNDS: None}, 0.0)
         self.assertTrue(wallet.reserve(POUNDS, "a", 10**9, 0.0))
         self.assertFalse(wallet.wants_change(0.0))
@@ -44,14 +44,14 @@
         counted on them until the response arrived, both could spend them.
         """
         wallet = make_wallet(ceiling=9_000)
-        wish = wallet.make_wishes(now=0.0)[POUNDS]
+        wish = wallet.make_share_requests(now=0.0)[POUNDS]
         self.assertLess(wish.ceiling, 9_000)
         self.assertEqual(wallet.balances[POUNDS].ceiling, wish.ceiling)
 
     def test_transferred_tokens_count_once(self):
         giver, receiver = make_wallet(ceiling=100), make_wallet(ceiling=0)
         self.assertTrue(giver.reserve(POUNDS, "r2/1", 50, 0.0))
-        given = giver.hand_over(POUNDS, "r2/1", 0.0)
+        given = giver.transfer_reservation(POUNDS, "r2/1", 0.0)
         self.assertEqual(given, 50)
         receiver.receive(POUNDS, given)
         together = giver.balances[POUNDS].ready + receiver.balances[POUNDS].ready
@@ -79,9 +79,9 @@
         It does not know the other routers yet.  If it were killed a second later,
         tokens that all others together need for seconds would be unusable.
         """
-        wallet = Wallet("r1")
+        wallet = Balances("r1")
         wallet.configure({POUNDS: 1_000_000}, 0.0)
-        self.assertEqual(wallet.make_wishes(0.0)[POUNDS].ceiling, 2_000)
+        self.assertEqual(wallet.make_share_requests(0.0)[POUNDS].ceiling, 2_000)
 
     def test_cushions_shrink_as_the_total_ends(self):
         """Guards against losing much of a nearly used total when routers are killed.
@@ -90,8 +90,8 @@
         for the same duration as at the start would be a third of what is left and
         would be lost, and requests after the restart would be refused.
         """
-        balance = Balance(total=4_000_000, keepers=2, left=400_000)
-        balance.rate, balance.rated_at, balance.rated_since = 5.0, 0.0, -60_000.0
+        balance = Balance(total=4_000_000, allocators=2, left=400_000)
+        balance.rate, balance.rate_updated_at, balance.rate_since = 5.0, 0.0, -60_000.0
         # A tenth is left: two keepers share 0.45 * 0.1 of it.
         self.assertEqual(balance.cushion(0.0), 9_000)
 
@@ -126,9 +126,9 @@
         wallet.receive(POUNDS, 80)
         self.assertTrue(wallet.reserve(POUNDS, "a", 60, 0.0))
         wallet.settle(POUNDS, "a", 50, 10.0)
-        self.assertEqual(wallet.find_idle(900.0), {})
-        self.assertEqual(wallet.find_idle(1_100.0), {POUNDS: 30})
-        wallet.take_out(POUNDS, 30)
+        self.assertEqual(wallet.find_returnable(900.0), {})
+        self.assertEqual(wallet.find_returnable(1_100.0), {POUNDS: 30})
+        wallet.debit(POUNDS, 30)
         self.assertEqual(wallet.balances[POUNDS].ready, 0)
 
     def test_a_router_that_is_no_keeper_spends_received_tokens_at_once(self):
@@ -140,12 +140,12 @@
         """
         wallet = make_wallet(ceiling=1_000)
         wallet.pace(UseRecord("r1", "ip", 0.0, uses=wallet.make_uses(0.0)))
-        self.assertTrue(wallet.keeps_any())
+        self.assertTrue(wallet.must_record_use())
         balance = wallet.balances[POUNDS]
         balance.rank = None
-        self.assertTrue(wallet.keeps_any())
-        wallet.settle_pace(UseRecord("r1", "ip", 1.0, uses=wallet.make_uses(1.0)))
-        self.assertFalse(wallet.keeps_any())
+        self.assertTrue(wallet.must_record_use())
+        wallet.confirm_record(UseRecord("r1", "ip", 1.0, uses=wallet.make_uses(1.0)))
+        self.assertFalse(wallet.must_record_use())
         wallet.receive(POUNDS, 500)
         self.assertEqual(balance.available(1.0), 1_500)
 
@@ -153,10 +153,10 @@
         wallet = make_wallet(ceiling=0)
         wallet.balances[POUNDS].rank = None
         wallet.reserve(POUNDS, "a", 60, 0.0)
-        self.assertFalse(wallet.is_waited_for(0.0))
-        wallet.note_unkept(POUNDS, 0.0)
-        self.assertTrue(wallet.is_waited_for(10.0))
-        self.assertEqual(wallet.make_wishes(10.0)[POUNDS].ceiling, 60)
+        self.assertFalse(wallet.has_drawable_waiters(0.0))
+        wallet.record_missing_allocator(POUNDS, 0.0)
+        self.assertTrue(wallet.has_drawable_waiters(10.0))
+        self.assertEqual(wallet.make_share_requests(10.0)[POUNDS].ceiling, 60)
 
     def test_a_request_waits_for_those_before_it(self):
         wallet = make_wallet(ceiling=1_000)
@@ -184,14 +184,14 @@
         self.assertEqual(wallet.balances[POUNDS].available(0.0), 300)
         wallet.pace(records[1])
         self.assertEqual(wallet.balances[POUNDS].available(0.0), 150)
-        wallet.settle_pace(records[0])
+        wallet.confirm_record(records[0])
         self.assertEqual(wallet.balances[POUNDS].available(0.0), 300)
 
     def test_a_paced_router_lacks_nothing_and_draws_nothing(self):
         wallet = make_wallet(ceiling=1_000)
         wallet.pace(UseRecord("r1", "ip", 0.0, uses={POUNDS: Use(0, 100, 1_000)}))
         self.assertFalse(wallet.reserve(POUNDS, "a", 400, 0.0))
-        self.assertFalse(wallet.is_waited_for(0.0))
+        self.assertFalse(wallet.has_drawable_waiters(0.0))
         # A third of the other 900 tokens unlocks after 8 s * sqrt(1/3).
         wait = wallet.balances[POUNDS].find_wait(400, 0.0)
         self.assertAlmostEqual(wait, 8_000.0 * (1 / 3) ** 0.5)
@@ -227,32 +227,32 @@
         Requests of many organisations arrive, each near the end of its total.  The
         write made for the first returned the free tokens of all of them.
         """
-        wallet = Wallet("r1")
+        wallet = Balances("r1")
         names = ("inns", POUNDS)
         wallet.configure(dict.fromkeys(names, 1_000), 0.0)
         nearly_all = Allotment(1_000, 1, closed=950)
         wallet.take(Allotments(dict.fromkeys(names, nearly_all)), 0.0)
         self.assertFalse(wallet.reserve(POUNDS, "a", 60, 500.0))
-        self.assertFalse(wallet.is_waited_for(500.0))
-        self.assertTrue(wallet.is_dry(POUNDS, 500.0))
-        self.assertTrue(wallet.is_waited_for(2_000.0))
+        self.assertFalse(wallet.has_drawable_waiters(500.0))
+        self.assertTrue(wallet.is_depleted(POUNDS, 500.0))
+        self.assertTrue(wallet.has_drawable_waiters(2_000.0))
 
     def test_free_tokens_supplement_held_tokens(self):
-        wallet = Wallet("r1")
+        wallet = Balances("r1")
         wallet.configure({POUNDS: 1_000}, 0.0)
         shares = {"r1": Share(40, 0)}
         known = Allotment(1_000, 1, closed=930, shares=shares)
         wallet.take(Allotments({POUNDS: known}), 0.0)
         # 40 tokens are held and 30 are free, enough for 60.
         self.assertFalse(wallet.reserve(POUNDS, "a", 60, 500.0))
-        self.assertTrue(wallet.is_waited_for(500.0))
+        self.assertTrue(wallet.has_drawable_waiters(500.0))
 
     def test_an_increased_total_is_drawn_from_at_once(self):
-        wallet = Wallet("r1")
+        wallet = Balances("r1")
         wallet.configure({POUNDS: 1_000}, 0.0)
         known = Allotment(1_000, 1, closed=1_000)
         wallet.take(Allotments({POUNDS: known}), 0.0)
         wallet.reserve(POUNDS, "a", 60, 500.0)
-        self.assertFalse(wallet.is_waited_for(500.0))
+        self.assertFalse(wallet.has_drawable_waiters(500.0))
         wallet.configure({POUNDS: 2_000}, 600.0)
-        self.assertTrue(wallet.is_waited_for(600.0))
+        self.assertTrue(wallet.has_drawable_waiters(600.0))
--- a/tests/core/test_blame.py
+++ b/tests/core/test_blame.py
@@ -2,12 +2,12 @@
 
 import unittest
 
-from anvilshift.core.blame import BlameBook
+from anvilshift.core.blame import CrashBlame
 
 
 class BlameBookTest(unittest.TestCase):
     def setUp(self):
-        self.blame_book = BlameBook()
+        self.blame_book = CrashBlame()
 
     def crash(self, content: str, target: str, now: float) -> None:
         self.blame_book.broke(content, target, now)
--- a/tests/core/test_budget_machine.py
+++ b/tests/core/test_budget_machine.py
@@ -4,8 +4,8 @@
 import unittest
 from dataclasses import dataclass, field
 
-from anvilshift.core.copies import Copies
-from anvilshift.core.escrow import Escrow
+from anvilshift.core.billcopies import BillCopies
+from anvilshift.core.holderaccounts import HolderAccounts
 from anvilshift.core.ledger import Bill, BillState, Commit, Ledger, Outcome
 
 SEEDS = 200
@@ -18,18 +18,18 @@
     """A router's budget state; its ledger calls begin and end in separate events."""
 
     incarnation: str
-    escrow: Escrow
-    copies: Copies
+    escrow: HolderAccounts
+    copies: BillCopies
     allowance: int = 60
     generation: int = 0
     running: dict[str, int] = field(default_factory=dict)
     commit: Commit | None = None
     outcome: Outcome | None = None
-    sealed: list[Escrow] = field(default_factory=list)
+    sealed: list[HolderAccounts] = field(default_factory=list)
 
     @classmethod
     def start(cls, name: str) -> "Router":
-        router = cls(name, Escrow(name), Copies(name))
+        router = cls(name, HolderAccounts(name), BillCopies(name))
         router.escrow.open("pounds", router.allowance, level=150)
         return router
 
@@ -144,7 +144,7 @@
             router.escrow.finish_commit(commit, outcome, float(self.now))
             assert not router.grant_state.frozen
             return
-        router.escrow.drop_judged(outcome.bills)
+        router.escrow.drop_decided_bills(outcome.bills)
         router.sealed.append(router.escrow)
         router.generation += 1
         name = f"{router.incarnation}.{router.generation}"
@@ -156,7 +156,7 @@
     def submit_released(self, at):
         for escrow in self.routers[at].sealed:
             bills = escrow.list_released()
-            self.ledger, states = self.ledger.hand_in(
+            self.ledger, states = self.ledger.submit_late_bills(
                 escrow.holder, bills, escrow.holder
             )
             self.add_answered(states)
@@ -171,7 +171,7 @@
         for holder in self.ledger.list_sealed(self.now + 9):
             if name in self.ledger.list_witnesses(holder):
                 bills = copies.close(holder)
-                self.ledger, _ = self.ledger.hand_in(holder, bills, name)
+                self.ledger, _ = self.ledger.submit_late_bills(holder, bills, name)
 
     def kill(self, at):
         self.killed += 1
--- a/tests/core/test_choosing.py
+++ b/tests/core/test_choosing.py
@@ -3,7 +3,7 @@
 import unittest
 from dataclasses import replace
 
-from anvilshift.core.choosing import Demand, choose_engine, choose_plain
+from anvilshift.core.choosing import Demand, choose_engine, choose_plain_target
 from anvilshift.core.loadmap import LoadMap, Prompt, TargetInfo, prefill_time
 
 CAPACITY = 400_000
@@ -114,7 +114,8 @@
 
         def choose_least_connections(prompt, now):
             target = min(
-                least_connections.loads.of_service("advice"), key=lambda t: len(t.runs)
+                least_connections.loads.list_service_targets("advice"),
+                key=lambda t: len(t.runs),
             )
             demand = make_demand(prompt)
             loads = LoadMap()
@@ -244,12 +245,16 @@
         loads = make_map(("p0", "p1"), slots=2, service="desk")
         for run in ("a", "b", "c"):
             loads.send("p0", run, Prompt(), 0, 0.0, 0)
-        choice = choose_plain(loads, "desk", "north", 40.0, random.Random(1), now=0.0)
+        choice = choose_plain_target(
+            loads, "desk", "north", 40.0, random.Random(1), now=0.0
+        )
         self.assertEqual((choice.target.info.name, choice.wait), ("p1", 0.0))
 
     def test_the_wait_of_a_plain_request_includes_the_queue_ahead(self):
         loads = make_map(("p0",), slots=2, service="desk")
         for run in range(5):
             loads.send("p0", str(run), Prompt(), 0, 0.0, 0)
-        choice = choose_plain(loads, "desk", "north", 40.0, random.Random(1), now=0.0)
+        choice = choose_plain_target(
+            loads, "desk", "north", 40.0, random.Random(1), now=0.0
+        )
         self.assertEqual(choice.wait, 80.0)
--- a/tests/core/test_concurrency.py
+++ b/tests/core/test_concurrency.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from anvilshift.core.concurrency import STALE, Limit
+from anvilshift.core.concurrency import STALE_AFTER, Limit
 from anvilshift.core.work import LoadReport
 
 
@@ -38,8 +38,8 @@
     def test_share_falls_back_to_that_without_reports_when_they_stop(self):
         limit = Limit(8, 4)
         limit.report(LoadReport("e1", 0, 0, as_of=1.0), 2.0)
-        self.assertFalse(limit.expire(1.0 + STALE))
-        self.assertTrue(limit.expire(3.0 + STALE))
+        self.assertFalse(limit.expire(1.0 + STALE_AFTER))
+        self.assertTrue(limit.expire(3.0 + STALE_AFTER))
         self.assertEqual(limit.share, 4.0)
 
     def test_target_that_never_reports_keeps_a_bounded_history(self):
--- a/tests/core/test_dispatcher_poison.py
+++ b/tests/core/test_dispatcher_poison.py
@@ -6,11 +6,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from anvilshift.core.dispatcher import NEWS_SPAN, Dispatcher
+from anvilshift.core.dispatcher import CRASH_REPORT_DELAY, Dispatcher
 from anvilshift.core.errors import NO_ENGINE, QUARANTINED
 from anvilshift.core.work import (
-    Announce,
     Cancel,
+    CrashAnnouncement,
     DispatchSettings,
     Failure,
     Refuse,
@@ -61,7 +61,7 @@
 
     def take(self, router, actions):
         for action in actions:
-            if isinstance(action, Announce):
+            if isinstance(action, CrashAnnouncement):
                 self.tell(router, action)
             elif isinstance(action, Cancel):
                 self.running.pop(action.identity)
@@ -88,13 +88,13 @@
 
     def run_poison(self, names):
         """Crash engines that run the poison until none has run it for a while."""
-        until = self.now + NEWS_SPAN
+        until = self.now + CRASH_REPORT_DELAY
         while self.now < until:
             self.now += 10.0
             self.tick()
             found = [name for name in names if name in self.running]
             if found:
-                until = self.now + NEWS_SPAN + 10.0
+                until = self.now + CRASH_REPORT_DELAY + 10.0
                 target = self.running[found[0]][1]
                 self.lost.append(target)
                 self.crash(target)
--- a/tests/core/test_dispatcher_random.py
+++ b/tests/core/test_dispatcher_random.py
@@ -8,9 +8,9 @@
 
 from anvilshift.core.dispatcher import Dispatcher
 from anvilshift.core.work import (
-    Announce,
     CacheEvent,
     Cancel,
+    CrashAnnouncement,
     DispatchSettings,
     Failure,
     LoadReport,
@@ -41,7 +41,7 @@
 
     def take(self, actions):
         for action in actions:
-            if isinstance(action, Announce):
+            if isinstance(action, CrashAnnouncement):
                 continue
             name = action.identity
             if isinstance(action, Cancel):
--- a/tests/core/test_errors.py
+++ b/tests/core/test_errors.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from anvilshift.core.errors import CODES, OVERLOADED, AnvilshiftError, Fate
+from anvilshift.core.errors import CODES, OVERLOADED, AnvilshiftError, ExecutionState
 
 PERMANENT = {1001, 1002, 1003, 1004, 1005, 1006, 1007, 1009, 3003, 4003, 4006}
 FOR_OPERATORS = {5002, 5004, 6001, 6002, 9001}
@@ -23,4 +23,4 @@
 
     def test_work_has_not_run_under_codes_for_caller_errors(self):
         fates = {c.fate for c in CODES.values() if c.number < 2000}
-        self.assertEqual(fates, {Fate.NOT_RUN})
+        self.assertEqual(fates, {ExecutionState.NOT_RUN})
--- a/tests/core/test_exposure.py
+++ b/tests/core/test_exposure.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from anvilshift.core.exposure import FORGET_AFTER, Exposure
+from anvilshift.core.exposure import CHARGE_LIFETIME, Exposure
 
 
 class ExposureTest(unittest.TestCase):
@@ -17,7 +17,7 @@
         self.run_at("e1")
         self.assertTrue(self.exposure.may_reach("work", "e3"))
         self.run_at("e2")
-        self.assertEqual(self.exposure.list_confined("work"), ["e1", "e2"])
+        self.assertEqual(self.exposure.list_only_targets("work"), ["e1", "e2"])
         self.assertFalse(self.exposure.may_reach("work", "e3"))
 
     def test_attempts_in_progress_are_charged(self):
@@ -28,12 +28,12 @@
     def test_attempt_that_never_ran_is_refunded(self):
         for target in ("e1", "e2", "e3"):
             self.run_at(target, ran=False)
-        self.assertEqual(self.exposure.list_reached("work"), [])
+        self.assertEqual(self.exposure.list_charged_targets("work"), [])
 
     def test_refund_keeps_the_charge_of_an_attempt_that_ran(self):
         self.run_at("e1")
         self.run_at("e1", ran=False)
-        self.assertEqual(self.exposure.list_reached("work"), ["e1"])
+        self.assertEqual(self.exposure.list_charged_targets("work"), ["e1"])
 
     def test_complete_answer_clears_charges_and_other_attempts(self):
         for target in ("e1", "e2"):
@@ -54,14 +54,14 @@
     def test_crash_reported_by_another_router_is_charged(self):
         self.run_at("e1")
         self.exposure.crashed("work", "e2", 1.0)
-        self.assertEqual(self.exposure.list_confined("work"), ["e1", "e2"])
+        self.assertEqual(self.exposure.list_only_targets("work"), ["e1", "e2"])
 
     def test_charges_expire_without_new_attempts(self):
         self.run_at("e1")
         self.run_at("e2")
-        self.exposure.expire("work", FORGET_AFTER)
+        self.exposure.expire("work", CHARGE_LIFETIME)
         self.assertFalse(self.exposure.may_reach("work", "e3"))
-        self.exposure.expire("work", FORGET_AFTER + 1.0)
+        self.exposure.expire("work", CHARGE_LIFETIME + 1.0)
         self.assertTrue(self.exposure.may_reach("work", "e3"))
 
     def test_work_without_content_is_not_charged(self):
--- a/tests/core/test_former.py
+++ b/tests/core/test_former.py
@@ -35,14 +35,14 @@
             "e3": Target("e3", "east", serves=frozenset({"small"})),
         }
         new = {"e1": old["e1"]}
-        former.supersede(old, new, revision=5, now=0.0)
+        former.record_change(old, new, revision=5, now=0.0)
         self.assertEqual(former.list_domains(new), [{"e1": "north", "e3": "east"}])
 
     def test_change_completes_once_all_routers_have_it_in_force(self):
         former = FormerTargets()
         first, second = {"e1": Target("e1", "north")}, {"e2": Target("e2", "north")}
-        former.supersede(first, second, revision=5, now=0.0)
-        former.supersede(second, first, revision=8, now=0.0)
+        former.record_change(first, second, revision=5, now=0.0)
+        former.record_change(second, first, revision=8, now=0.0)
         self.assertFalse(former.agree(4, 1.0))
         self.assertTrue(former.agree(5, 1.0))
         self.assertEqual(len(former.list_domains(first)), 1)
@@ -53,7 +53,7 @@
         """Guards against contents without any engine during a release."""
         former = FormerTargets()
         old, new = {"e1": Target("e1", "north")}, {"e2": Target("e2", "north")}
-        former.supersede(old, new, revision=5, now=0.0)
+        former.record_change(old, new, revision=5, now=0.0)
         self.assertFalse(former.agree(4, 60_000.0))
         self.assertTrue(former.agree(4, 60_001.0))
         self.assertEqual(former.list_domains(new), [])
--- a/tests/core/test_escrow.py
+++ b/tests/core/test_holderaccounts.py
@@ -3,18 +3,20 @@
 import unittest
 
 from anvilshift.core.errors import BUDGET_EXHAUSTED, BUDGET_UNREACHABLE
-from anvilshift.core.escrow import Escrow
+from anvilshift.core.holderaccounts import HolderAccounts
 from anvilshift.core.ledger import Bill, BillState, Grant, Ledger
 
 
-def make_escrow(tokens: int = 1_000, allowance: int = 100) -> tuple[Escrow, Ledger]:
-    escrow = Escrow("r1")
+def make_escrow(
+    tokens: int = 1_000, allowance: int = 100
+) -> tuple[HolderAccounts, Ledger]:
+    escrow = HolderAccounts("r1")
     escrow.open("pounds", allowance, level=500)
     ledger = Ledger().top_up("pounds", "invoice", tokens)
     return escrow, commit(escrow, ledger)
 
 
-def commit(escrow: Escrow, ledger: Ledger) -> Ledger:
+def commit(escrow: HolderAccounts, ledger: Ledger) -> Ledger:
     request = escrow.begin_commit()
     ledger, outcome = ledger.apply(request)
     escrow.finish_commit(request, outcome)
--- a/tests/core/test_ledger.py
+++ b/tests/core/test_ledger.py
@@ -73,7 +73,7 @@
 
     def test_late_bills_take_only_what_is_in_doubt(self):
         ledger = draw(make_ledger(), "r1", 600, allowance=100).seal("r1")
-        ledger, states = ledger.hand_in("r1", (bill("a", 80), bill("b", 30)))
+        ledger, states = ledger.submit_late_bills("r1", (bill("a", 80), bill("b", 30)))
         self.assertEqual(states["pounds", "a"], BillState.RECORDED)
         self.assertEqual(states["pounds", "b"], BillState.REFUSED)
         account = ledger.account("pounds")
@@ -118,7 +118,9 @@
         after, outcome = ledger.apply(again)
         self.assertEqual(outcome.bills["pounds", "k"], BillState.RECORDED)
         self.assertEqual(after.account("pounds").spent, 60)
-        sealed, states = ledger.seal("r1").hand_in("r1", (one,), attested_by="r1")
+        sealed, states = ledger.seal("r1").submit_late_bills(
+            "r1", (one,), attested_by="r1"
+        )
         self.assertEqual(states["pounds", "k"], BillState.RECORDED)
         self.assertEqual(sealed.account("pounds").spent, 60)
 
@@ -126,9 +128,9 @@
         commit = Commit("r1", draws={"pounds": Draw(600, 100, witness="r2")})
         ledger = make_ledger().apply(commit)[0].seal("r1")
         copies = (bill("a", 30),)
-        kept, _ = ledger.hand_in("r1", copies, attested_by="r3")
+        kept, _ = ledger.submit_late_bills("r1", copies, attested_by="r3")
         self.assertEqual(kept.account("pounds").doubt, 70)
-        closed, _ = ledger.hand_in("r1", copies, attested_by="r2")
+        closed, _ = ledger.submit_late_bills("r1", copies, attested_by="r2")
         account = closed.account("pounds")
         self.assertEqual((account.spent, account.doubt, account.free), (30, 0, 970))
 
@@ -153,7 +155,7 @@
     @given(
         st.lists(
             st.tuples(
-                st.sampled_from(["draw", "bill", "seal", "hand_in", "topup"]),
+                st.sampled_from(["draw", "bill", "seal", "submit_late_bills", "topup"]),
                 st.sampled_from(["r1", "r2", "r3"]),
                 st.integers(0, 9),
                 st.integers(0, 400),
@@ -171,8 +173,8 @@
                 ledger, _ = ledger.apply(Commit(holder, one))
             elif kind == "seal":
                 ledger = ledger.seal(holder)
-            elif kind == "hand_in":
-                ledger, _ = ledger.hand_in(holder, one)
+            elif kind == "submit_late_bills":
+                ledger, _ = ledger.submit_late_bills(holder, one)
             else:
                 ledger = ledger.top_up("pounds", f"i{key}", tokens)
             account = ledger.account("pounds")
--- a/tests/core/test_loadmap.py
+++ b/tests/core/test_loadmap.py
@@ -90,7 +90,7 @@
         loads = make_map()
         self.send(loads, "edge-1.aa/1", 100)
         self.send(loads, "edge-2.bb/1", 100)
-        loads.forget_runs("edge-1.aa/")
+        loads.remove_runs("edge-1.aa/")
         self.assertEqual(list(loads.targets["e1"].runs), ["edge-2.bb/1"])
 
     def test_notifications_about_unknown_targets_are_ignored(self):
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -3,11 +3,11 @@
 import unittest
 
 from anvilshift.core.lease import Lease
-from anvilshift.core.membership import Member, Roster, Vitals
+from anvilshift.core.membership import HeartbeatStatus, Member, MemberTable
 
 LEASE = 4_000.0
-OUT = Vitals(reaches_platform=False, renewing_for=0.0)
-SETTLED = Vitals(renewing_for=2 * LEASE)
+OUT = HeartbeatStatus(reaches_platform=False, renewing_for=0.0)
+SETTLED = HeartbeatStatus(renewing_for=2 * LEASE)
 
 
 SEEN = 100
@@ -22,9 +22,9 @@
 
 def make_roster(**heard):
     """Return a roster from the vitals and instant of each member's last heartbeat."""
-    roster = Roster(LEASE)
-    for name, (vitals, at) in heard.items():
-        roster = roster.hear(make_member(name), vitals, at)
+    roster = MemberTable(LEASE)
+    for name, (heartbeat_status, at) in heard.items():
+        roster = roster.hear(make_member(name), heartbeat_status, at)
     return roster
 
 
@@ -61,7 +61,9 @@
 
     def test_router_stops_if_it_hears_that_another_renews(self):
         def one_renews(now):
-            return make_roster(r2=(OUT, now), r3=(Vitals(renewing_for=1.0), now))
+            return make_roster(
+                r2=(OUT, now), r3=(HeartbeatStatus(renewing_for=1.0), now)
+            )
 
         self.assertFalse(self.serve_until(one_renews, 4_500))
 
@@ -74,8 +76,8 @@
         """
 
         def renews_until_six(now):
-            vitals = SETTLED if now < 6_000 else OUT
-            return make_roster(r2=(vitals, now), r3=(vitals, now))
+            heartbeat_status = SETTLED if now < 6_000 else OUT
+            return make_roster(r2=(heartbeat_status, now), r3=(heartbeat_status, now))
 
         self.assertFalse(self.serve_until(renews_until_six, 60_000))
         self.lease.begin(60_500.0)
@@ -126,7 +128,7 @@
 
     def test_half_of_a_fleet_without_the_platform_does_not_serve(self):
         roster = make_roster(r2=(OUT, 4_500.0), r3=(OUT, 0.0), r4=(OUT, 0.0))
-        self.assertFalse(roster.is_platform_out(SEEN, 4_600.0))
+        self.assertFalse(roster.is_platform_down(SEEN, 4_600.0))
 
     def test_minority_that_reaches_the_platform_removes_no_router(self):
         """Guards against removing a cut-off majority that keeps serving.
@@ -155,10 +157,10 @@
         for name in ("r5", "r6"):
             newcomer = make_member(name, since=SEEN + 1)
             roster = roster.hear(newcomer, OUT, 4_500.0)
-        self.assertFalse(roster.is_platform_out(SEEN, 4_600.0))
+        self.assertFalse(roster.is_platform_down(SEEN, 4_600.0))
 
     def test_router_that_renews_only_recently_does_not_count(self):
-        recent = Vitals(renewing_for=LEASE)
+        recent = HeartbeatStatus(renewing_for=LEASE)
         roster = make_roster(r2=(recent, 4_500.0), r9=(SETTLED, 0.0))
         self.assertFalse(self.may_remove(roster))
 
--- a/tests/core/test_prefixes.py
+++ b/tests/core/test_prefixes.py
@@ -2,13 +2,13 @@
 
 import unittest
 
-from anvilshift.core.prefixes import PrefixBelief
+from anvilshift.core.prefixes import PrefixIndex
 from anvilshift.core.work import CacheEvent
 
 
 class PrefixTest(unittest.TestCase):
     def setUp(self):
-        self.index = PrefixBelief()
+        self.index = PrefixIndex()
         self.index.take(CacheEvent("e1", 7, stored=("a", "b")))
 
     def test_event_that_arrives_out_of_order_is_ignored(self):
--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from anvilshift.core.quarantine import FORGET_AFTER, Quarantine
+from anvilshift.core.quarantine import CHARGE_LIFETIME, Quarantine
 
 
 class QuarantineTest(unittest.TestCase):
@@ -82,7 +82,7 @@
             self.assertFalse(quarantine.is_quarantined("poison", 3_000.0))
             now = 4_000.0 + 1_000.0 * n
             quarantine.crashed("poison", ("e1", "e2")[n % 2], sent=now, now=now + 10.0)
-        self.assertEqual(quarantine.list_confined("poison"), ["e1", "e2"])
+        self.assertEqual(quarantine.list_only_targets("poison"), ["e1", "e2"])
         self.assertTrue(quarantine.is_quarantined("poison", 7_000.0))
 
     def test_work_beside_a_suspect_is_charged_but_not_suspect(self):
@@ -93,7 +93,7 @@
         quarantine.crashed("poison", "e2", sent=11.0, now=20.0)
         self.assertFalse(quarantine.is_suspect("poison"))
         quarantine.crashed("poison", "e3", sent=21.0, now=30.0)
-        self.assertEqual(quarantine.list_confined("poison"), ["e2", "e3"])
+        self.assertEqual(quarantine.list_only_targets("poison"), ["e2", "e3"])
         self.assertFalse(quarantine.is_free("e4", "poison"))
 
     def test_report_of_a_further_crash_uses_up_the_extra_attempt(self):
@@ -119,7 +119,7 @@
         for name in ("e1", "e2"):
             quarantine.crashed("p", name, sent=0.0, now=10.0)
         self.assertTrue(quarantine.is_quarantined("p", 20.0))
-        self.assertFalse(quarantine.is_quarantined("p", 21.0 + FORGET_AFTER))
+        self.assertFalse(quarantine.is_quarantined("p", 21.0 + CHARGE_LIFETIME))
         quarantine.crashed("q", "e3", sent=0.0, now=10.0)
         quarantine.clear("q")
         self.assertFalse(quarantine.is_suspect("q"))
--- a/tests/core/test_queueset.py
+++ b/tests/core/test_queueset.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from anvilshift.core.queue import Entry, Shares
+from anvilshift.core.queue import Entry, ServiceTags
 from anvilshift.core.queueset import QueueSet
 from anvilshift.core.work import Work
 
@@ -14,7 +14,7 @@
 
 class QueueSetTest(unittest.TestCase):
     def setUp(self):
-        self.queues = QueueSet(Shares())
+        self.queues = QueueSet(ServiceTags())
 
     def list_names(self, target):
         found = [q.list_entries() for q in self.queues.list_for(target)]
--- a/tests/core/test_relocation.py
+++ b/tests/core/test_relocation.py
@@ -132,7 +132,7 @@
         """Guards against a third engine lost to work that only a lost router knew."""
         fleet = self.make_fleet()
         for router in fleet.routers:
-            router.note_lost_router(fleet.now)
+            router.record_lost_router(fleet.now)
         name = fleet.send(0, "c")
         self.assertEqual(fleet.asked, [])
         self.assertIs(fleet.refused[name].code, NO_ENGINE)
--- a/tests/core/test_reach.py
+++ b/tests/core/test_restriction.py
@@ -5,7 +5,7 @@
 
 from anvilshift.core.dispatcher import Dispatcher
 from anvilshift.core.homes import choose_homes
-from anvilshift.core.work import Announce, DispatchSettings, Send, Target, Work
+from anvilshift.core.work import CrashAnnouncement, DispatchSettings, Send, Target, Work
 
 NAMES = tuple(f"e{n}" for n in range(1, 7))
 HOMES = choose_homes("c", dict.fromkeys(NAMES, "north"))
@@ -33,7 +33,7 @@
 
     def test_router_uses_only_the_homes_beside_one_that_does_not_serve_yet(self):
         """Guards against losing a third engine while a fleet starts."""
-        self.dispatcher.set_others(True)
+        self.dispatcher.set_has_others(True)
         used = [target for _ in range(4) for target in self.send()]
         self.assertEqual(sorted(used), sorted(HOMES))
 
@@ -41,13 +41,13 @@
         """Guards against a content that runs outside the homes, unknown to others."""
         (target,) = self.send()
         self.assertEqual(self.dispatcher.list_crashes(0.0), [])
-        self.dispatcher.set_others(True)
+        self.dispatcher.set_has_others(True)
         told = self.dispatcher.list_crashes(0.0)
-        self.assertEqual(told, [Announce("c", target, times=0)])
+        self.assertEqual(told, [CrashAnnouncement("c", target, times=0)])
 
     def test_content_with_a_complete_answer_may_be_sent_to_any_target(self):
         """Guards against sending a popular request to two engines only."""
-        self.dispatcher.set_others(True)
+        self.dispatcher.set_has_others(True)
         self.send()
         self.dispatcher.done("r1", 5, 1.0)
         used = {target for _ in range(4) for target in self.send()}
--- a/tests/core/test_retention.py
+++ b/tests/core/test_retention.py
@@ -1,6 +1,6 @@
 import unittest
 
-from anvilshift.core.retention import SLACK, Mark, MarkLog, thin
+from anvilshift.core.retention import RETENTION_MARGIN, Mark, MarkLog, thin
 
 HISTORY = 20_000.0
 
@@ -10,8 +10,8 @@
         marks = MarkLog(HISTORY)
         marks.add(Mark(followed=2_000.0, revision=5))
         # Readable until 22 s at most, which is less than 4 s after 18 s.
-        spans = marks.list_spans(anchor=18_000.0, most=8_000.0)
-        self.assertEqual(spans, [(4_000.0 + SLACK, Mark(2_000.0, 5))])
+        spans = marks.list_bounds(anchor=18_000.0, most=8_000.0)
+        self.assertEqual(spans, [(4_000.0 + RETENTION_MARGIN, Mark(2_000.0, 5))])
 
     def test_recovered_marks_prove_no_shorter_bound_than_before(self):
         """A process ends 2 s after it has recorded its marks; the next one starts.
@@ -22,16 +22,16 @@
         """
         first, second = MarkLog(HISTORY), MarkLog(HISTORY)
         first.add(Mark(followed=2_000.0, revision=5))
-        listed = first.list_spans(anchor=18_000.0, most=8_000.0)
+        listed = first.list_bounds(anchor=18_000.0, most=8_000.0)
         second.recover([(span, mark.revision) for span, mark in listed], 100.0)
-        (span, mark) = second.list_spans(anchor=100.0, most=8_000.0)[0]
-        self.assertEqual((span, mark.revision), (4_000.0 + SLACK, 5))
+        (span, mark) = second.list_bounds(anchor=100.0, most=8_000.0)[0]
+        self.assertEqual((span, mark.revision), (4_000.0 + RETENTION_MARGIN, 5))
 
     def test_marks_that_prove_no_useful_bound_are_omitted(self):
         marks = MarkLog(HISTORY)
         for second in range(21):
             marks.add(Mark(second * 1_000.0, second))
-        spans = marks.list_spans(anchor=20_500.0, most=3_000.0)
+        spans = marks.list_bounds(anchor=20_500.0, most=3_000.0)
         # Revision 0 is already discarded; those above 3 prove only more than 3 s.
         self.assertEqual([mark.revision for _, mark in spans], [1, 2, 3])
 
@@ -39,7 +39,7 @@
         marks = MarkLog(HISTORY)
         marks.add(Mark(3_000.0, 9))
         marks.add(Mark(1_000.0, 4))
-        spans = marks.list_spans(anchor=18_000.0, most=8_000.0)
+        spans = marks.list_bounds(anchor=18_000.0, most=8_000.0)
         self.assertEqual([mark.revision for _, mark in spans], [4, 9])
 
     def test_a_mark_close_to_another_is_not_added(self):
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -3,10 +3,10 @@
 
 from anvilshift.core.routing import (
     Configuration,
+    OrganisationBudget,
     RequestKind,
     RouteTable,
     Rule,
-    Tenancy,
 )
 
 
@@ -38,7 +38,7 @@
         self.assertIsNone(table.find("other.example", "/x/1"))
 
     def test_an_organisation_is_found_by_each_of_its_credentials(self):
-        pounds = Tenancy("pounds", ("k1", "k2"), reserved=10)
+        pounds = OrganisationBudget("pounds", ("k1", "k2"), reserved=10)
         table = self.make_table(organisations={"pounds": pounds})
         self.assertEqual(table.find_organisation("k2"), pounds)
         self.assertIsNone(table.find_organisation("k3"))
@@ -56,8 +56,8 @@
             make_rule("c", "/c/"),
         ]
         table = self.make_table(*rules)
-        self.assertEqual(table.find_pause("s"), 200.0)
-        self.assertEqual(table.find_pause("t"), float("inf"))
+        self.assertEqual(table.find_pause_objective("s"), 200.0)
+        self.assertEqual(table.find_pause_objective("t"), float("inf"))
 
     def test_only_idempotent_and_resumable_requests_are_repeatable(self):
         streaming = RequestKind.STREAMING
--- a/tests/core/test_once.py
+++ b/tests/core/test_sequencenumbers.py
@@ -1,7 +1,7 @@
 import random
 import unittest
 
-from anvilshift.core.once import Numbers
+from anvilshift.core.sequencenumbers import SequenceNumbers
 
 
 class NumbersTest(unittest.TestCase):
@@ -10,19 +10,19 @@
 
         If it were accepted twice, the receiver would have tokens that nobody granted.
         """
-        rng, numbers = random.Random(4), Numbers()
+        rng, numbers = random.Random(4), SequenceNumbers()
         sent = [n for n in range(1, 2_000) for _ in range(2)]
         sent.sort(key=lambda n: n + rng.uniform(0.0, 900.0))
         taken = [n for n in sent if numbers.take(n)]
         self.assertEqual(len(taken), len(set(taken)))
 
     def test_slightly_reordered_messages_are_accepted(self):
-        numbers = Numbers()
+        numbers = SequenceNumbers()
         order = [2, 1, 4, 3, 6, 5]
         self.assertTrue(all(numbers.take(n) for n in order))
 
     def test_the_number_of_stored_numbers_is_bounded(self):
-        numbers = Numbers()
+        numbers = SequenceNumbers()
         for number in range(1, 5_000):
             numbers.take(number)
         self.assertEqual(len(numbers.seen), 256)
--- a/tests/core/test_asking.py
+++ b/tests/core/test_tokensearch.py
@@ -1,11 +1,11 @@
 import unittest
 
-from anvilshift.core.asking import ANSWER_WITHIN, Answer, TokenHunt
+from anvilshift.core.tokensearch import ANSWER_TIMEOUT, Answer, TokenSearch
 
 
 class TokenHuntTest(unittest.TestCase):
     def test_the_second_keeper_is_asked_once_the_first_lacks_tokens(self):
-        hunt = TokenHunt(("r1", "r2"))
+        hunt = TokenSearch(("r1", "r2"))
         self.assertEqual(hunt.find_next(0.0), "r1")
         hunt.note(Answer(False, 900.0))
         self.assertEqual(hunt.find_next(4.0), "r2")
@@ -14,33 +14,33 @@
         self.assertEqual(hunt.find_wait(), 300.0)
 
     def test_a_lost_datagram_is_sent_again_once(self):
-        hunt = TokenHunt(("r1",))
-        asked = [hunt.find_next(n * ANSWER_WITHIN) for n in range(4)]
+        hunt = TokenSearch(("r1",))
+        asked = [hunt.find_next(n * ANSWER_TIMEOUT) for n in range(4)]
         self.assertEqual(asked, ["r1", "r1", None, None])
-        self.assertTrue(hunt.is_unanswered(2 * ANSWER_WITHIN))
+        self.assertTrue(hunt.is_unanswered(2 * ANSWER_TIMEOUT))
 
     def test_the_search_is_not_over_before_the_last_answer_is_due(self):
-        hunt = TokenHunt(("r1",))
+        hunt = TokenSearch(("r1",))
         hunt.find_next(0.0)
-        hunt.find_next(ANSWER_WITHIN)
-        self.assertFalse(hunt.is_over(1.5 * ANSWER_WITHIN))
+        hunt.find_next(ANSWER_TIMEOUT)
+        self.assertFalse(hunt.is_over(1.5 * ANSWER_TIMEOUT))
 
     def test_an_unreachable_keeper_is_skipped_without_delay(self):
-        hunt = TokenHunt(("r1", "r2"))
+        hunt = TokenSearch(("r1", "r2"))
         hunt.find_next(0.0)
         hunt.skip()
         self.assertEqual(hunt.find_next(0.0), "r2")
 
     def test_exhaustion_is_certain_only_if_all_keepers_report_it(self):
-        hunt = TokenHunt(("r1", "r2"))
+        hunt = TokenSearch(("r1", "r2"))
         hunt.note(Answer(True, 4_000.0))
         self.assertFalse(hunt.is_certain())
         hunt.note(Answer(True, 4_000.0))
         self.assertTrue(hunt.is_certain())
-        self.assertFalse(TokenHunt(()).is_certain())
+        self.assertFalse(TokenSearch(()).is_certain())
 
     def test_a_write_already_in_progress_does_not_count(self):
-        hunt = TokenHunt((), draws=7, records=3)
+        hunt = TokenSearch((), draws=7, records=3)
         self.assertFalse(hunt.has_drawn(8))
         self.assertTrue(hunt.has_drawn(9))
         self.assertFalse(hunt.is_recorded(4))
--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -1,6 +1,6 @@
 import unittest
 
-from anvilshift.core.usage import SPREAD_OVER, Spent, Use, UseRecord
+from anvilshift.core.usage import RELEASE_TIME, SpendingBounds, Use, UseRecord
 
 POUNDS = "pounds"
 
@@ -13,7 +13,7 @@
 class UseTest(unittest.TestCase):
     def test_the_limit_grows_slowly_at_first_up_to_the_cushion(self):
         use = Use(recorded=1_000, at_once=100, cushion=1_000)
-        spent = [use.find_limit(at) for at in (0.0, 2_000.0, 4_000.0, SPREAD_OVER)]
+        spent = [use.find_limit(at) for at in (0.0, 2_000.0, 4_000.0, RELEASE_TIME)]
         # 100 at any time; of the other 900, a sixteenth after a quarter of the time.
         self.assertEqual(spent, [1_100, 1_156, 1_325, 2_000])
 
@@ -29,7 +29,9 @@
         self.assertEqual(use.find_limit(1_000.0 + wait), 1_325)
 
     def test_a_record_bounds_what_was_spent(self):
-        self.assertEqual(make_record().bound(2_000.0)[POUNDS], Spent(1_000, 1_156))
+        self.assertEqual(
+            make_record().bound(2_000.0)[POUNDS], SpendingBounds(1_000, 1_156)
+        )
 
 
 class ReadClockTest(unittest.TestCase):
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -2,13 +2,13 @@
 
 import asyncio
 
+from anvilshift.core.allocators import AllocatorMap
 from anvilshift.core.errors import AnvilshiftError
-from anvilshift.core.keepers import KeeperMap
 from anvilshift.core.retention import MarkLog
-from anvilshift.gateway.allotting import KIND, NAME, Allotter, read_allotments
 from anvilshift.gateway.messages import Ask, Gift
 from anvilshift.gateway.recording import Recorder
 from anvilshift.gateway.reserving import Reservations
+from anvilshift.gateway.shares import KIND, NAME, ShareManager, read_allotments
 from anvilshift.standins.memory import MemoryStore
 from anvilshift.standins.virtual import VirtualClock, run_virtual
 from tests.gateway.silent import SilentJournal
@@ -35,7 +35,7 @@
         self.clock = VirtualClock()
         self.store = MemoryStore(self.clock, HISTORY, tells_conflicts=True)
         self.recording = recording
-        self.allotters: dict[str, Allotter] = {}
+        self.allotters: dict[str, ShareManager] = {}
         self.reservations: dict[str, Reservations] = {}
         self.recorders: dict[str, Recorder] = {}
         self.journals: dict[str, SilentJournal] = {}
@@ -47,19 +47,19 @@
 
     def start(
         self, node: str, total: int = 10_000, version: int = 1, ip: str = ""
-    ) -> Allotter:
+    ) -> ShareManager:
         self.starts += 1
         holder = f"{node}.{self.starts}"
         journal = self.journals[node] = SilentJournal()
         store = self.store.view(node)
-        allotter = Allotter(store, node, holder, self.clock, journal)
+        allotter = ShareManager(store, node, holder, self.clock, journal)
         allotter.alone = False
         reservations = Reservations(
             allotter,
-            KeeperMap(node),
+            AllocatorMap(node),
             self.clock,
             journal,
-            lambda keeper, *ask: self._ask(node, keeper, *ask),
+            lambda allocator, *ask: self._ask(node, allocator, *ask),
         )
         self.allotters[node] = allotter
         self.reservations[node] = reservations
@@ -79,7 +79,7 @@
                 read_wall=self.clock.now,
                 end_record=allotter.end_round,
             )
-            allotter.settle_former = recorder.settle_former
+            allotter.bound_former_use = recorder.bound_former_use
             reservations.recorder = recorder
             self.tasks[node].append(asyncio.create_task(self._record(node)))
         allotter.configure(version, {POUNDS: total})
@@ -88,9 +88,9 @@
 
     def _note_routers(self) -> None:
         for one in self.reservations.values():
-            if one.keepers.set_routers(set(self.reservations)):
+            if one.allocators.set_routers(set(self.reservations)):
                 one.allotter.found_at = self.clock.now()
-            one.wallet.set_keepers(one.keepers)
+            one.wallet.set_keepers(one.allocators)
 
     async def _run(self, node: str) -> None:
         await self.allotters[node].run()
@@ -105,36 +105,40 @@
         while True:
             await asyncio.sleep(_SWEEP_INTERVAL_S)
             if self.recording:
-                one.wallet.set_provable(self.recorders[node].is_provable())
-            for gift, keeper in one.return_idle(self._find_keeper(one)):
-                self._send(keeper, gift)
+                one.wallet.set_provable(self.recorders[node].can_prove_age())
+            for gift, allocator in one.return_idle(self._find_keeper(one)):
+                self._send(allocator, gift)
 
     def _find_keeper(self, one: Reservations):
         def find(name: str) -> tuple[str, str] | None:
-            present = [k for k in one.keepers.list_others(name) if k in self.allotters]
+            present = [
+                k for k in one.allocators.list_others(name) if k in self.allotters
+            ]
             return (self.allotters[present[0]].holder, present[0]) if present else None
 
         return find
 
-    def _ask(self, node: str, keeper: str, number: int, name: str, tokens: int) -> bool:
-        if keeper not in self.reservations:
+    def _ask(
+        self, node: str, allocator: str, number: int, name: str, tokens: int
+    ) -> bool:
+        if allocator not in self.reservations:
             return False
         asker = self.reservations[node]
-        keeping = asker.keepers.is_keeper(name)
+        keeping = asker.allocators.is_keeper(name)
         ask = Ask(asker.allotter.holder, number, node, name, tokens, keeping)
-        self.asks.append((keeper, ask))
+        self.asks.append((allocator, ask))
         loop = asyncio.get_running_loop()
         for _ in range(self.copies):
-            loop.call_later(_DATAGRAM_DELAY_S, self._hear_ask, keeper, ask)
+            loop.call_later(_DATAGRAM_DELAY_S, self._hear_ask, allocator, ask)
         return True
 
-    def _hear_ask(self, keeper: str, ask: Ask) -> None:
-        if keeper in self.tasks:
-            task = asyncio.create_task(self._lend(self.reservations[keeper], ask))
-            self.tasks[keeper].append(task)
+    def _hear_ask(self, allocator: str, ask: Ask) -> None:
+        if allocator in self.tasks:
+            task = asyncio.create_task(self._lend(self.reservations[allocator], ask))
+            self.tasks[allocator].append(task)
 
-    async def _lend(self, keeper: Reservations, ask: Ask) -> None:
-        answer = await keeper.lend(ask)
+    async def _lend(self, allocator: Reservations, ask: Ask) -> None:
+        answer = await allocator.answer_ask(ask)
         if answer is not None:
             self._send(ask.ip, answer)
 
@@ -147,9 +151,9 @@
         if node not in self.reservations:
             return
         if isinstance(answer, Gift):
-            self.reservations[node].take_gift(answer)
+            self.reservations[node].apply_gift(answer)
         else:
-            self.reservations[node].take_lack(answer)
+            self.reservations[node].apply_lack(answer)
 
     def kill(self, node: str) -> None:
         for task in self.tasks.pop(node):
--- a/tests/gateway/permitfleet.py
+++ b/tests/gateway/permitfleet.py
@@ -6,7 +6,7 @@
 
 from anvilshift.core.choosing import Choice
 from anvilshift.core.loadmap import LoadMap, Prompt, TargetInfo
-from anvilshift.gateway.limits import LimitBook
+from anvilshift.gateway.limits import RateLimits
 from anvilshift.gateway.messages import (
     Limited,
     PermitAnswer,
@@ -16,7 +16,7 @@
     SentBefore,
 )
 from anvilshift.gateway.permits import Permits
-from anvilshift.gateway.turns import Turn
+from anvilshift.gateway.permitsession import PermitSession
 from anvilshift.standins.virtual import VirtualClock, run_virtual
 from tests.gateway.silent import SilentJournal
 
@@ -106,7 +106,7 @@
         self.tasks: list[asyncio.Task] = []
         self.declare()
         peers = PeerNetwork(fleet, name)
-        self.limits = LimitBook(
+        self.limits = RateLimits(
             name, self.incarnation, self.loads, peers, fleet.clock, self.journal
         )
         self.permits = Permits(
@@ -130,15 +130,15 @@
         if self.dead or not self.running.is_set():
             return
         if isinstance(message, Limited):
-            self.limits.hear_limit(message)
+            self.limits.apply_limit(message)
         elif isinstance(message, PermitAsk):
-            self.permits.hear_ask(message)
+            self.permits.handle_ask(message)
         elif isinstance(message, PermitAnswer):
-            self.permits.hear_answer(message)
+            self.permits.handle_answer(message)
         elif isinstance(message, PermitDropped):
-            self.permits.hear_dropped(message)
+            self.permits.handle_withdrawal(message)
         elif isinstance(message, SentBefore):
-            self.limits.hear_sends(message)
+            self.limits.add_sends(message)
         elif isinstance(message, Sent):
             self.loads.send(ENGINE, message.run, Prompt(), 0, self.fleet.clock.now(), 0)
 
@@ -146,12 +146,12 @@
         """Handle a request that only this engine can serve; tell if it was sent."""
         clock = self.fleet.clock
         end = clock.now() + patience
-        turn = Turn(self.shared, "id", clock.now())
+        turn = PermitSession(self.shared, "id", clock.now())
         turn.organisation = organisation
         while True:
             await self.running.wait()
             target = self.loads.targets[ENGINE]
-            choice = Choice(target, 0.0, turn=target.wait_for_turn(clock.now()))
+            choice = Choice(target, 0.0, turn=target.find_admission_delay(clock.now()))
             too_late = clock.now() + choice.turn > end or clock.now() >= end
             if turn.refused or too_late:
                 turn.close()
@@ -178,7 +178,7 @@
         await asyncio.sleep(0.003)
         await self.running.wait()
         if not self.dead:
-            self.limits.note_answer(ENGINE, named, sent, "id")
+            self.limits.apply_answer(ENGINE, named, sent, "id")
         await asyncio.sleep(fleet.rng.uniform(0.0, 0.5))
         self.loads.end(ENGINE, run)
 
@@ -271,7 +271,7 @@
 
     def wake(self, name: str) -> None:
         self.nodes[name].running.set()
-        self.nodes[name].permits.note_lapse()
+        self.nodes[name].permits.handle_suspension()
         self._note_later()
 
     def cut(self, name: str) -> None:
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -23,10 +23,10 @@
     def tell(self, message):
         pass
 
-    def tell_near(self, message, domain, soon=True):
+    def send_near(self, message, domain, soon=True):
         pass
 
-    def tell_far(self, message, domain):
+    def send_far(self, message, domain):
         self.to_distant.append((message, domain))
 
 
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -4,7 +4,7 @@
 import unittest
 from types import SimpleNamespace
 
-from anvilshift.core.blame import BlameBook
+from anvilshift.core.blame import CrashBlame
 from anvilshift.core.loadmap import LoadMap, Prompt, TargetInfo
 from anvilshift.gateway.crashes import CrashTracker
 
@@ -29,7 +29,7 @@
         for name in names:
             self.declare(name)
         sender = SimpleNamespace(loads=self.loads)
-        self.shared = SimpleNamespace(clock=clock, sender=sender, blame=BlameBook())
+        self.shared = SimpleNamespace(clock=clock, sender=sender, blame=CrashBlame())
 
     def declare(self, name, leaving=False):
         domain = DOMAINS[int(name[2:]) % 3]
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -60,7 +60,7 @@
         for n in range(30):
             self.hear(n)
         sent = Sent("own/1", "e1", (), 10, 5, 0, False)
-        self.peers.tell_near(sent, "south")
+        self.peers.send_near(sent, "south")
         await asyncio.sleep(0.08)
         receivers = self.transport.list_addresses("Sent")
         near = [f"10.0.0.{n}" for n in range(30) if DOMAINS[n % 3] != "west"]
@@ -69,7 +69,7 @@
     async def test_messages_for_far_routers_go_only_to_them(self):
         for n in range(30):
             self.hear(n)
-        self.peers.tell_far(Held("e1", (("sheet", 9_000),)), "south")
+        self.peers.send_far(Held("e1", (("sheet", 9_000),)), "south")
         await asyncio.sleep(0.3)
         receivers = self.transport.list_addresses("Held")
         far = [f"10.0.0.{n}" for n in range(30) if DOMAINS[n % 3] == "west"]
@@ -78,17 +78,17 @@
     async def test_no_message_is_sent_if_no_router_is_far(self):
         self.hear(0)
         self.hear(1)
-        self.peers.tell_far(Held("e1", (("sheet", 9_000),)), "south")
+        self.peers.send_far(Held("e1", (("sheet", 9_000),)), "south")
         await asyncio.sleep(0.3)
         self.assertEqual(self.transport.list_addresses("Held"), [])
 
     async def test_the_end_of_a_run_shares_a_datagram_with_the_next_send(self):
         for n in range(30):
             self.hear(n)
-        self.peers.tell_near(Ended("own/1", "e1"), "north", soon=False)
+        self.peers.send_near(Ended("own/1", "e1"), "north", soon=False)
         await asyncio.sleep(0.08)
         self.assertEqual(self.transport.list_addresses("Ended"), [])
-        self.peers.tell_near(Sent("own/2", "e1", (), 10, 5, 0, False), "north")
+        self.peers.send_near(Sent("own/2", "e1", (), 10, 5, 0, False), "north")
         await asyncio.sleep(0.08)
         datagrams = [d for _, d in self.transport.sent if d.startswith(b'["Ended"')]
         kinds = [type(message) for message in decode(datagrams[0])]
--- a/tests/gateway/test_permits.py
+++ b/tests/gateway/test_permits.py
@@ -184,9 +184,9 @@
     def test_an_answer_older_than_the_limit_does_not_end_it(self):
         async def scenario(fleet):
             node = fleet.nodes["r0"]
-            node.limits.note_answer("e1", 2.0, sent=0.0, identity="a")
+            node.limits.apply_answer("e1", 2.0, sent=0.0, identity="a")
             await asyncio.sleep(1.0)
-            node.limits.note_answer("e1", None, sent=-50.0, identity="b")
+            node.limits.apply_answer("e1", None, sent=-50.0, identity="b")
             return node.loads.targets["e1"].limit.ended
 
         self.assertIsNone(run_scenario(scenario, 1))
@@ -237,5 +237,5 @@
     async def announce_limit(self, fleet) -> None:
         fleet.engine.rate = 1.0
         for node in fleet.nodes.values():
-            node.limits.note_answer("e1", 1.0, fleet.clock.now(), "id")
+            node.limits.apply_answer("e1", 1.0, fleet.clock.now(), "id")
         await asyncio.sleep(1.0)
--- a/tests/gateway/test_recording.py
+++ b/tests/gateway/test_recording.py
@@ -2,16 +2,16 @@
 import random
 import unittest
 
-from anvilshift.core.keepers import list_keepers
-from anvilshift.core.retention import SLACK
-from anvilshift.core.usage import SPREAD_OVER
+from anvilshift.core.allocators import list_allocators
+from anvilshift.core.retention import RETENTION_MARGIN
+from anvilshift.core.usage import RELEASE_TIME
 from tests.gateway.fleet import POUNDS, run_scenario
 
 TOTAL = 1_000_000
 SMALL = 700_000
 """Four hosts spend more than half of this before the history proves any bound."""
 HOSTS = ("a", "b", "c", "d")
-KEEPER = list_keepers(POUNDS, HOSTS)[0]
+KEEPER = list_allocators(POUNDS, HOSTS)[0]
 """The host that holds most of the total."""
 
 
@@ -81,9 +81,9 @@
             await restart_all(fleet, 1.0)
             # The period of records, the time without power, the margin of the history,
             # and the spacing of marks and of bounds.
-            most = 400.0 + 1_000.0 + SLACK + 80.0 + 0.08 * 1_630.0
-            for keeper in list_keepers(POUNDS, HOSTS):
-                settled = dict(fleet.journals[keeper].lines)["use_settled"]
+            most = 400.0 + 1_000.0 + RETENTION_MARGIN + 80.0 + 0.08 * 1_630.0
+            for allocator in list_allocators(POUNDS, HOSTS):
+                settled = dict(fleet.journals[allocator].lines)["use_settled"]
                 self.assertLess(settled["elapsed"], most)
 
         run_scenario(scenario, recording=True)
@@ -125,7 +125,7 @@
             await use_evenly(fleet, 25.0)
             await restart_all(fleet, 1.0)
             for _ in range(9):
-                self.assertTrue(fleet.recorders[KEEPER].is_provable())
+                self.assertTrue(fleet.recorders[KEEPER].can_prove_age())
                 await asyncio.sleep(1.0)
             spent = await restart_all(fleet, 1.0)
             settled = dict(fleet.journals[KEEPER].lines)["use_settled"]
@@ -183,7 +183,7 @@
             burst.cancel()
             spent = await restart_all(fleet, 0.3)
             settled = dict(fleet.journals[KEEPER].lines)["use_settled"]
-            self.assertLess(settled["elapsed"], SPREAD_OVER)
+            self.assertLess(settled["elapsed"], RELEASE_TIME)
             self.assertGreaterEqual(fleet.read().closed, spent)
 
         run_scenario(scenario, recording=True)
--- a/tests/gateway/test_reserving.py
+++ b/tests/gateway/test_reserving.py
@@ -1,11 +1,11 @@
 import asyncio
 import unittest
 
-from anvilshift.core.keepers import list_keepers
+from anvilshift.core.allocators import list_allocators
 from tests.gateway.fleet import POUNDS, run_scenario
 
 HOSTS = ("a", "b", "c", "d", "e", "f")
-KEEPERS = list_keepers(POUNDS, HOSTS)
+KEEPERS = list_allocators(POUNDS, HOSTS)
 OTHERS = tuple(host for host in HOSTS if host not in KEEPERS)
 
 
@@ -68,8 +68,8 @@
     def test_a_router_draws_for_itself_after_both_keepers_are_killed(self):
         async def scenario(fleet):
             await start_all(fleet, 100_000)
-            for keeper in KEEPERS:
-                fleet.kill(keeper)
+            for allocator in KEEPERS:
+                fleet.kill(allocator)
             self.assertTrue(await fleet.spend(OTHERS[0], "x", 500))
 
         run_scenario(scenario)
--- a/tests/gateway/test_allotting.py
+++ b/tests/gateway/test_shares.py
@@ -1,8 +1,8 @@
 import asyncio
 import unittest
 
+from anvilshift.core.allocators import list_allocators
 from anvilshift.core.errors import AnvilshiftError
-from anvilshift.core.keepers import list_keepers
 from tests.gateway.fleet import POUNDS, run_scenario
 
 
@@ -36,8 +36,8 @@
                 for node, journal in fleet.journals.items()
                 if "shares_written" in journal.list_events()
             }
-            keepers = list_keepers(POUNDS, [f"r{n}" for n in range(12)])
-            self.assertLessEqual(writers, set(keepers))
+            allocators = list_allocators(POUNDS, [f"r{n}" for n in range(12)])
+            self.assertLessEqual(writers, set(allocators))
 
         run_scenario(scenario)
 
@@ -99,7 +99,7 @@
             await fleet.spend("a", "x", 100)
             spent = fleet.allotters["a"].list_spent()
             fleet.kill("a")
-            other.note_ended("a.1", spent)
+            other.record_ended("a.1", spent)
             await asyncio.sleep(2.0)
             self.assertNotIn("a.1", fleet.read().shares)
             self.assertEqual((fleet.read().closed, fleet.read().doubt), (100, 0))
--- a/tests/integration/fleetcase.py
+++ b/tests/integration/fleetcase.py
@@ -133,12 +133,12 @@
     async def check_spend(self, budget: str, justified: int) -> None:
         """Wait until just what was served is recorded, and nothing is missing."""
 
-        async def is_settled() -> bool:
+        async def has_no_pending_changes() -> bool:
             row = (await read_usage(self.store))[budget]
             self.assertLessEqual(row["spent"], justified)
             return row["spent"] == justified
 
-        await wait_until(is_settled)
+        await wait_until(has_no_pending_changes)
         row = (await read_usage(self.store))[budget]
         kept = row["spent"] + row["held"] + row["in_doubt"] + row["free"]
         self.assertEqual(kept, TOKENS)
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -96,9 +96,11 @@
         self.assertEqual((found.version, rule.kind), (7, RequestKind.STREAMING))
         self.assertEqual(rule.services, (("huvo11a", 90.0), ("wuno96b", 10.0)))
         self.assertEqual((rule.timeout, rule.objective), (15_000.0, 1_000.0))
-        self.assertEqual((rule.pause_objective, rule.most_targets), (300.0, 1))
+        self.assertEqual(
+            (rule.pause_objective, rule.max_targets_per_request), (300.0, 1)
+        )
         self.assertEqual(found.services["huvo11a"].model.cache_tokens, 428_428)
-        self.assertEqual(found.services["huvo11a"].model.tokens_an_event, 5)
+        self.assertEqual(found.services["huvo11a"].model.tokens_per_event, 5)
         self.assertIsNone(found.services["wuno96b"].model)
         self.assertEqual(found.organisations["hule930"].reserved, 2_654_915)
         self.assertEqual(found.limits.idle_timeout, 15_000.0)
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -3,7 +3,7 @@
 import asyncio
 import json
 
-from anvilshift.platform.entrance import EntrancePort
+from anvilshift.platform.entrance import EndpointPort
 from anvilshift.wire.messages import Address
 from anvilshift.wire.server import HttpServer
 from tests.platform.gatewaycase import GatewayCase, make_configuration
@@ -93,7 +93,7 @@
         stopping = asyncio.create_task(self.node.stop())
         await asyncio.sleep(0.05)
         self.assertFalse(self.node.is_ready())
-        self.assertEqual(self.node.list_entrances().addresses, ())
+        self.assertEqual(self.node.list_endpoints().addresses, ())
         self.assertEqual((await self.call("/review/2"))[0], 200)
         self.assertEqual((await calling)[0], 200)
         await stopping
@@ -126,7 +126,7 @@
 class EntranceTest(GatewayCase):
     async def test_callers_are_told_where_to_connect(self):
         await self.start_node()
-        port = EntrancePort(self.node.is_ready, self.node.list_entrances)
+        port = EndpointPort(self.node.is_ready, self.node.list_endpoints)
         server = HttpServer(port.handle)
         address = await server.start(LOOPBACK)
         self.addAsyncCleanup(server.close)
--- a/tests/router/fleetlet.py
+++ b/tests/router/fleetlet.py
@@ -13,10 +13,10 @@
 from anvilshift.objects.records import decode, encode
 from anvilshift.objects.store import update
 from anvilshift.peers.link import PeerError
-from anvilshift.router.gate import hash_token
+from anvilshift.router.accesscontrol import hash_token
+from anvilshift.router.budgets import LEDGER_KIND, LEDGER_NAME
 from anvilshift.router.node import Node, World
 from anvilshift.router.telemetry import Telemetry
-from anvilshift.router.treasury import LEDGER_KIND, LEDGER_NAME
 from anvilshift.settings.router import RouterSettings
 from anvilshift.standins.engine import EngineStandin
 from anvilshift.standins.memory import MemoryStore
--- a/tests/router/nodes.py
+++ b/tests/router/nodes.py
@@ -100,22 +100,22 @@
         raise PeerError("cut")
 
     async def beat(self, address, beat):
-        return await self._find(address).take_beat(beat)
+        return await self._find(address).handle_heartbeat(beat)
 
     async def keep(self, address, request):
-        return await self._find(address).take_copies(request)
+        return await self._find(address).handle_keep(request)
 
     async def give_back(self, address, request):
-        return await self._find(address).take_give_back(request)
+        return await self._find(address).handle_give_back(request)
 
     async def call_store(self, address, request):
-        return await self._find(address).take_call_store(request)
+        return await self._find(address).handle_call_store(request)
 
     async def permit(self, address, request):
-        return await self._find(address).take_permit(request)
+        return await self._find(address).handle_permit(request)
 
     async def relocate(self, address, request):
-        return await self._find(address).take_relocate(request)
+        return await self._find(address).handle_relocate(request)
 
     def close(self):
         pass
--- a/tests/router/test_agreement.py
+++ b/tests/router/test_agreement.py
@@ -88,7 +88,7 @@
         common = find_homes(CHANGED, OLD) & find_homes(CHANGED, NEW)
         self.assertLessEqual(self.list_used_engines("r1"), common)
         roster = self.fleet.nodes["r1"].fleet
-        await wait_until(lambda: "r3" not in roster.roster.sightings)
+        await wait_until(lambda: "r3" not in roster.roster.member_statuses)
         await wait_until(
             lambda: roster.find_common_revision() == roster.member.revision
         )
@@ -105,4 +105,4 @@
         await wait_until(lambda: newcomer.fleet.member.revision > 0)
         self.assertFalse(newcomer.is_ready())
         await wait_until(newcomer.is_ready)
-        self.assertNotIn("r3", newcomer.fleet.roster.sightings)
+        self.assertNotIn("r3", newcomer.fleet.roster.member_statuses)
--- a/tests/router/test_claims.py
+++ b/tests/router/test_claims.py
@@ -10,7 +10,7 @@
 from anvilshift.core.errors import AnvilshiftError
 from anvilshift.objects.records import encode
 from anvilshift.objects.store import HttpObjectStore
-from anvilshift.router.claims import CLAIM_KIND, ClaimBook
+from anvilshift.router.claims import CLAIM_KIND, ClaimStore
 from anvilshift.standins.memory import MemoryStore
 from anvilshift.wire.client import HttpClient
 from anvilshift.wire.messages import Address, HttpRequest, Reply
@@ -30,7 +30,7 @@
         address = await self.server.start(Address("127.0.0.1", 0))
         self.client = HttpClient()
         store = HttpObjectStore(self.client, address)
-        self.book = ClaimBook(store, MonotonicClock(), "r1-x", random.Random(0))
+        self.book = ClaimStore(store, MonotonicClock(), "r1-x", random.Random(0))
 
     async def asyncTearDown(self):
         self.book.close()
@@ -69,8 +69,8 @@
         self.store = MemoryStore()
         self.book = self.make_book("r1-x")
 
-    def make_book(self, holder: str) -> ClaimBook:
-        book = ClaimBook(
+    def make_book(self, holder: str) -> ClaimStore:
+        book = ClaimStore(
             self.store,
             MonotonicClock(),
             holder,
--- a/tests/router/test_claims_random.py
+++ b/tests/router/test_claims_random.py
@@ -14,7 +14,7 @@
     AnvilshiftError,
 )
 from anvilshift.router.claimed import ClaimedRuns
-from anvilshift.router.claims import CLAIM_KIND, ClaimBook
+from anvilshift.router.claims import CLAIM_KIND, ClaimStore
 from anvilshift.standins.memory import MemoryStore
 from anvilshift.standins.virtual import VirtualClock, run_virtual
 
@@ -35,7 +35,7 @@
         self.fates: Counter[str] = Counter()
         self.fates_by_key: dict[str, set[str]] = {}
         self.senders: set[int] = set()
-        self.books: list[ClaimBook] = []
+        self.books: list[ClaimStore] = []
         self.starts = 0
         self.routers = [self.start_router(index) for index in range(3)]
 
@@ -52,7 +52,7 @@
         self.starts += 1
         clock, holder = VirtualClock(), f"r{index}-{self.starts}"
         view = self.store.view(holder)
-        book = ClaimBook(view, clock, holder, self.rng, self.is_running)
+        book = ClaimStore(view, clock, holder, self.rng, self.is_running)
         self.books.append(book)
         return ClaimedRuns(book, clock)
 
--- a/tests/router/test_crashes.py
+++ b/tests/router/test_crashes.py
@@ -3,9 +3,9 @@
 import asyncio
 
 from anvilshift.core.clock import SECOND
-from anvilshift.core.permits import LOST_FOR
-from anvilshift.core.quarantine import FORGET_AFTER
-from anvilshift.core.work import Announce
+from anvilshift.core.permits import LOST_ROUTER_TIMEOUT
+from anvilshift.core.quarantine import CHARGE_LIFETIME
+from anvilshift.core.work import CrashAnnouncement
 from tests.router.nodes import HEARTBEAT, Nodes, VirtualTestCase, wait_until
 
 
@@ -26,19 +26,19 @@
         Otherwise the router that gets the repeat sends it to a third target.
         """
         started_at = self.fleet.clock.now()
-        self.fleet.nodes["r1"].dispatch.announce(Announce("poison", "e1"))
+        self.fleet.nodes["r1"].dispatch.announce(CrashAnnouncement("poison", "e1"))
         await wait_until(lambda: len(self.heard) == 2)
         self.assertLess(self.fleet.clock.now() - started_at, HEARTBEAT / 5)
         self.assertEqual({name for name, _, _ in self.heard}, {"r2", "r3"})
 
     async def test_repeated_news_is_taken_once(self):
-        self.fleet.nodes["r1"].dispatch.announce(Announce("poison", "e1"))
+        self.fleet.nodes["r1"].dispatch.announce(CrashAnnouncement("poison", "e1"))
         await asyncio.sleep(20)
         self.assertEqual(len(self.heard), 2)
-        self.assertEqual(len(self.fleet.nodes["r1"].crashes.list_told()), 1)
-        await asyncio.sleep(FORGET_AFTER / SECOND)
+        self.assertEqual(len(self.fleet.nodes["r1"].crashes.list_reports_to_send()), 1)
+        await asyncio.sleep(CHARGE_LIFETIME / SECOND)
         self.assertEqual(len(self.heard), 2)
-        self.assertEqual(self.fleet.nodes["r1"].crashes.list_told(), [])
+        self.assertEqual(self.fleet.nodes["r1"].crashes.list_reports_to_send(), [])
 
     async def test_router_that_was_cut_off_hears_once_the_cut_has_healed(self):
         """A router that was partitioned must receive crash reports afterwards.
@@ -47,7 +47,7 @@
         crash a third target through the router that missed them.
         """
         self.fleet.cut_peers("r3")
-        self.fleet.nodes["r1"].dispatch.announce(Announce("poison", "e1"))
+        self.fleet.nodes["r1"].dispatch.announce(CrashAnnouncement("poison", "e1"))
         await asyncio.sleep(30)
         self.assertEqual([name for name, _, _ in self.heard], ["r2"])
         self.fleet.cut_peers()
@@ -60,7 +60,7 @@
         Otherwise the content still runs at a router that can't reach the sender.
         """
         self.fleet.pair_cuts = {frozenset({"r1", "r3"})}
-        self.fleet.nodes["r1"].dispatch.announce(Announce("poison", "e1"))
+        self.fleet.nodes["r1"].dispatch.announce(CrashAnnouncement("poison", "e1"))
         started_at = self.fleet.clock.now()
         await wait_until(lambda: len(self.heard) == 2)
         self.assertLess(self.fleet.clock.now() - started_at, 3 * HEARTBEAT)
@@ -88,10 +88,10 @@
         await wait_until(lambda: not node.dispatcher._state.partitioned)
         self.fleet.cut_from_platform("r3")
         self.fleet.cut_peers("r3")
-        await wait_until(lambda: "r3" not in node.fleet.roster.sightings)
+        await wait_until(lambda: "r3" not in node.fleet.roster.member_statuses)
         await asyncio.sleep(2 * HEARTBEAT / SECOND)
         self.assertTrue(node.dispatcher._state.partitioned)
-        await asyncio.sleep(LOST_FOR / SECOND)
+        await asyncio.sleep(LOST_ROUTER_TIMEOUT / SECOND)
         self.assertFalse(node.dispatcher._state.partitioned)
 
     async def test_neighbours_of_a_crash_do_not_push_out_what_is_blamed(self):
@@ -101,16 +101,18 @@
         requests in flight.
         """
         crashes = self.fleet.nodes["r1"].crashes
-        crashes.announce(Announce("poison", "e1"))
+        crashes.announce(CrashAnnouncement("poison", "e1"))
         for n in range(200):
-            crashes.announce(Announce(f"neighbour{n}", "e2", times=0))
-        reported = [(crash.content, crash.target) for crash in crashes.list_told()]
+            crashes.announce(CrashAnnouncement(f"neighbour{n}", "e2", times=0))
+        reported = [
+            (crash.content, crash.target) for crash in crashes.list_reports_to_send()
+        ]
         self.assertIn(("poison", "e1"), reported)
         self.assertEqual(len(reported), 50)
 
     async def test_router_that_missed_a_beat_hears_with_the_next(self):
         self.fleet.cut_peers("r3")
-        self.fleet.nodes["r1"].dispatch.announce(Announce("poison", "e1"))
+        self.fleet.nodes["r1"].dispatch.announce(CrashAnnouncement("poison", "e1"))
         await wait_until(lambda: len(self.heard) == 1)
         self.fleet.cut_peers()
         await wait_until(lambda: len(self.heard) == 2)
@@ -129,5 +131,8 @@
         node = self.fleet.nodes["r4"]
         await wait_until(node.is_ready)
         known = node.dispatcher.list_crashes(self.fleet.clock.now())
-        expected = [Announce("poison", "e1"), Announce("poison", "e2")]
+        expected = [
+            CrashAnnouncement("poison", "e1"),
+            CrashAnnouncement("poison", "e2"),
+        ]
         self.assertEqual(known, expected)
--- a/tests/router/test_departing.py
+++ b/tests/router/test_departing.py
@@ -8,7 +8,7 @@
 from anvilshift.core.declarations import Catalogue, Engine, EngineGroup, TargetKind
 from anvilshift.core.work import LoadReport
 from anvilshift.objects.store import HostEntry
-from anvilshift.router.departing import Departing
+from anvilshift.router.leavingtargets import LeavingTargets
 from anvilshift.standins.virtual import run_virtual
 
 
@@ -16,7 +16,7 @@
     def setUp(self):
         self.clock = ManualClock()
         self.told = []
-        self.departing = Departing(
+        self.departing = LeavingTargets(
             lambda target, is_leaving: self.told.append((target, is_leaving)),
             self.clock,
         )
@@ -25,7 +25,7 @@
         self.departing.configure(Catalogue(groups={"models": group}))
 
     def report(self, target, leaving=False):
-        self.departing.take_report(
+        self.departing.apply_load_report(
             LoadReport(target, 0, 0, self.clock.now(), leaving=leaving)
         )
 
@@ -41,7 +41,7 @@
         """
         self.report("e1", leaving=True)
         for _ in range(2):
-            self.departing.take_refusal("e2")
+            self.departing.count_refusal("e2")
         self.assertEqual(self.departing.leaving, {"e1", "e2"})
         self.declare("e2")
         self.assertEqual(self.departing.leaving, {"e2"})
@@ -54,14 +54,14 @@
 
         Otherwise an engine that is no longer polled would be leaving for ever.
         """
-        self.departing.take_refusal("e1")
+        self.departing.count_refusal("e1")
         self.declare("e2")
-        self.departing.take_refusal("e1")
+        self.departing.count_refusal("e1")
         self.report("e1", leaving=True)
         self.assertEqual(self.departing.leaving, frozenset())
 
     def list_hosts(self, *entries):
-        self.departing.take_hosts(entries)
+        self.departing.apply_host_list(entries)
 
     def test_engine_that_answers_on_off_the_list_is_used_again(self):
         """An engine that answers must be used again though its host isn't listed.
--- a/tests/router/test_moving.py
+++ b/tests/router/test_moving.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from anvilshift.core.work import Announce
+from anvilshift.core.work import CrashAnnouncement
 from anvilshift.peers.generated.peers_pb2 import Crash
 from anvilshift.standins.engine import make_answer
 from bench.fleet import wait_until
@@ -42,12 +42,12 @@
 
     async def test_heartbeats_carry_news_of_crashes(self):
         node = self.fleet.nodes[0]
-        node.dispatch.act([Announce("poison", "es0")])
+        node.dispatch.act([CrashAnnouncement("poison", "es0")])
         heartbeat = node.fleet._make_heartbeat()
         found = [(crash.content, crash.target) for crash in heartbeat.crashes]
         self.assertEqual(found, [("poison", "es0")])
         for _ in range(2):
-            node.fleet.hear_crashes([Crash(content="other", target="es1")])
+            node.fleet.receive_crash_reports([Crash(content="other", target="es1")])
         quarantine = node.dispatcher._state.quarantine
         self.assertTrue(quarantine.is_suspect("other"))
         self.assertFalse(quarantine.is_quarantined("other", node.clock.now()))
--- a/tests/router/test_orders.py
+++ b/tests/router/test_orders.py
@@ -4,7 +4,7 @@
 
 from anvilshift.core.clock import SECOND
 from anvilshift.core.errors import PLATFORM_DOWN, AnvilshiftError
-from anvilshift.core.orders import compute_wait
+from anvilshift.core.orders import compute_takeover_wait
 from tests.router.nodes import LEASE, Nodes, VirtualTestCase, wait_until
 
 
@@ -122,7 +122,7 @@
         taken_over = self.fleet.clock.now()
         await self.wait_loaded("new")
         waited = self.fleet.clock.now() - taken_over
-        self.assertGreaterEqual(waited, compute_wait(LEASE) - SECOND / 10)
+        self.assertGreaterEqual(waited, compute_takeover_wait(LEASE) - SECOND / 10)
         await asyncio.sleep(5)
         self.engine.resume.set()
         await self.wait_loaded("old")
--- a/tests/router/test_permits.py
+++ b/tests/router/test_permits.py
@@ -6,7 +6,7 @@
 
 from anvilshift.core.dispatcher import Dispatcher
 from anvilshift.core.errors import AnvilshiftError
-from anvilshift.core.membership import Member, Roster, Vitals
+from anvilshift.core.membership import HeartbeatStatus, Member, MemberTable
 from anvilshift.core.work import DispatchSettings, LoadReport, Target, Work
 from anvilshift.peers.link import PeerError
 from anvilshift.router.dispatching import DispatchLoop
@@ -29,7 +29,7 @@
         self.dispatcher = Dispatcher(DispatchSettings(), random.Random(name))
         self.loop = DispatchLoop(self.dispatcher, fleet.clock)
         self.member = Member(name, f"{name}-1", name, name, name, "north")
-        self.roster = Roster(5_000.0)
+        self.roster = MemberTable(5_000.0)
         telemetry = Telemetry(exported=False)
         sources = PermitSources(
             self.member,
@@ -50,13 +50,13 @@
         if {self.name, address} & self.fleet.cut:
             await asyncio.sleep(1.0)
             raise PeerError("no answer")
-        return await self.fleet.routers[address].permits.take_permit(request)
+        return await self.fleet.routers[address].permits.handle_permit(request)
 
     def beat(self) -> None:
         now = self.fleet.clock.now()
         for other in self.fleet.routers.values():
             if other is not self and not {self.name, other.name} & self.fleet.cut:
-                self.roster = self.roster.hear(other.member, Vitals(), now)
+                self.roster = self.roster.hear(other.member, HeartbeatStatus(), now)
         self.permits.note_routers()
 
     async def ask(self, candidates, deadline: float) -> bool:
@@ -114,7 +114,7 @@
             for name, rate in self.rates.items():
                 now = self.clock.now()
                 report = LoadReport(name, 0, 0, now - 100.0, limit=rate)
-                router.permits.note_report(report)
+                router.permits.apply_report(report)
                 router.loop.act(router.dispatcher.load_report(report, now))
             await asyncio.sleep(REPORT_S)
 
--- a/tests/router/test_quarantined.py
+++ b/tests/router/test_quarantined.py
@@ -1,7 +1,7 @@
 """Quarantined contents stay known after every router that saw the crashes stopped."""
 
-from anvilshift.core.exposure import FORGET_AFTER
-from anvilshift.core.work import Announce
+from anvilshift.core.exposure import CHARGE_LIFETIME
+from anvilshift.core.work import CrashAnnouncement
 from anvilshift.objects.records import encode
 from anvilshift.router.quarantined import QUARANTINE_KIND, QuarantineRecord
 from tests.router.nodes import Nodes, VirtualTestCase, wait_until
@@ -16,14 +16,14 @@
         node = self.fleet.nodes[name]
         for target in targets:
             node.dispatcher.crashed("poison", target, self.fleet.clock.now())
-            node.dispatch.announce(Announce("poison", target))
+            node.dispatch.announce(CrashAnnouncement("poison", target))
 
     def is_stored(self):
         return self.fleet.platform.peek(QUARANTINE_KIND, "poison") is not None
 
     def is_known(self, name):
         dispatcher = self.fleet.nodes[name].dispatcher
-        return dispatcher.list_confined("poison") == ["e1", "e2"]
+        return dispatcher.list_only_targets("poison") == ["e1", "e2"]
 
     async def test_fleet_that_is_replaced_at_once_knows_what_the_former_lost(self):
         """Routers that replace the whole fleet must know the quarantined contents.
@@ -42,7 +42,7 @@
     async def test_one_crash_alone_is_not_recorded(self):
         await self.fleet.start("r1")
         self.crash("r1", "e1")
-        await wait_until(lambda: self.fleet.nodes["r1"].crashes.list_told())
+        await wait_until(lambda: self.fleet.nodes["r1"].crashes.list_reports_to_send())
         self.assertFalse(self.is_stored())
 
     async def test_record_is_written_once_the_platform_is_back(self):
@@ -60,7 +60,7 @@
         await self.fleet.platform.put(QUARANTINE_KIND, "poison", old, 0)
         await self.fleet.platform.put(QUARANTINE_KIND, "other", {"at": "x"}, 0)
         await wait_until(
-            lambda: self.fleet.clock.now() > FORGET_AFTER + 2_000.0, timeout=900.0
+            lambda: self.fleet.clock.now() > CHARGE_LIFETIME + 2_000.0, timeout=900.0
         )
         await self.fleet.start("r2")
         self.assertFalse(self.is_known("r2"))
--- a/tests/router/test_stopping.py
+++ b/tests/router/test_stopping.py
@@ -13,7 +13,7 @@
     def setUp(self):
         self.open = []
         self.log = []
-        self.platform_out = False
+        self.platform_unavailable = False
         self.abandoned = asyncio.Event()
 
     def begin(self, grace=30 * SECOND):
@@ -37,9 +37,9 @@
         self.log.append(("refuse", self.now()))
 
     async def settle(self):
-        if not self.platform_out:
+        if not self.platform_unavailable:
             self.log.append(("settle", self.now()))
-        return not self.platform_out
+        return not self.platform_unavailable
 
     async def test_new_work_is_taken_while_callers_may_keep_the_address(self):
         stop, running = self.begin()
@@ -75,16 +75,16 @@
         self.assertAlmostEqual(self.now(), 1.0, places=5)
 
     async def test_settles_when_an_outage_ends_within_the_grace(self):
-        self.platform_out = True
+        self.platform_unavailable = True
         stop, running = self.begin()
         await asyncio.sleep(20)
-        self.platform_out = False
+        self.platform_unavailable = False
         self.assertEqual(await running, 0)
         self.assertTrue(stop.settled)
 
     async def test_outage_bounds_the_stop_and_is_told(self):
         """The platform stays out: the grants can't go back before the end."""
-        self.platform_out = True
+        self.platform_unavailable = True
         stop, running = self.begin()
         self.assertEqual(await running, 0)
         self.assertAlmostEqual(self.now(), 30.0, places=5)
--- a/tests/router/test_treasury.py
+++ b/tests/router/test_treasury.py
@@ -15,7 +15,7 @@
 from anvilshift.objects import ledgers
 from anvilshift.objects.records import decode, encode
 from anvilshift.objects.store import update
-from anvilshift.router.treasury import LEDGER_KIND, LEDGER_NAME, Treasury
+from anvilshift.router.budgets import LEDGER_KIND, LEDGER_NAME, RouterBudgets
 from anvilshift.standins.memory import MemoryStore
 from anvilshift.standins.virtual import VirtualClock, run_virtual
 
@@ -33,9 +33,9 @@
         self.tokens = tokens
         self.treasuries = [self.make(f"r{n}") for n in range(1, routers + 1)]
 
-    def make(self, name: str) -> Treasury:
+    def make(self, name: str) -> RouterBudgets:
         view = self.store.view(name)
-        treasury = Treasury(view, VirtualClock(), f"{name}-a", SPACING)
+        treasury = RouterBudgets(view, VirtualClock(), f"{name}-a", SPACING)
         treasury.configure({"pounds": self.budget})
 
         async def ask(account: str) -> None:
@@ -50,7 +50,9 @@
         for treasury in self.treasuries:
             treasury.start()
 
-    async def spend(self, treasury: Treasury, key: str, tokens: int, **more) -> None:
+    async def spend(
+        self, treasury: RouterBudgets, key: str, tokens: int, **more
+    ) -> None:
         await treasury.reserve("pounds", key, tokens)
         await treasury.settle("pounds", key, "kosice", tokens, **more)
 
--- a/tests/router/test_witnesses.py
+++ b/tests/router/test_witnesses.py
@@ -3,12 +3,12 @@
 import unittest
 
 from anvilshift.core.account import Bill
-from anvilshift.core.copies import Copies
-from anvilshift.core.membership import Member, Roster, Vitals
+from anvilshift.core.billcopies import BillCopies
+from anvilshift.core.membership import HeartbeatStatus, Member, MemberTable
 from anvilshift.peers.generated.peers_pb2 import KeepReply
 from anvilshift.peers.link import PeerError
+from anvilshift.router.billcopyholders import BillCopyHolders
 from anvilshift.router.messages import read_bills
-from anvilshift.router.witnesses import Witnesses
 from anvilshift.standins.virtual import VirtualClock
 from tests.router.nodes import VirtualTestCase
 
@@ -26,14 +26,16 @@
     def __init__(self):
         self.clock = VirtualClock()
         self.dead = set()
-        self.copies = {name: Copies(f"{name}-a") for name in NAMES}
+        self.copies = {name: BillCopies(f"{name}-a") for name in NAMES}
 
     def make(self, name):
-        roster = Roster(5_000.0)
+        roster = MemberTable(5_000.0)
         for other in NAMES:
             if other != name:
-                roster = roster.hear(make_member(other), Vitals(), self.clock.now())
-        return Witnesses(self, self.clock, make_member(name), lambda: roster)
+                roster = roster.hear(
+                    make_member(other), HeartbeatStatus(), self.clock.now()
+                )
+        return BillCopyHolders(self, self.clock, make_member(name), lambda: roster)
 
     async def keep(self, address, request):
         name = address.removeprefix("peer-")
@@ -43,7 +45,7 @@
         kept = self.copies[name].add(request.holder, bills, request.witness)
         return KeepReply(kept=kept)
 
-    def list_keepers(self, holder="r1-a"):
+    def list_allocators(self, holder="r1-a"):
         return {name for name, copies in self.copies.items() if copies.list(holder)}
 
 
@@ -63,9 +65,9 @@
                 self.routers.dead = {dead}
                 keeping = self.routers.make("r1").keep_copies
                 self.assertTrue(await keeping("r1-a", BILLS, f"{witness}-a"))
-                keepers = self.routers.list_keepers()
-                self.assertEqual(len(keepers), 2)
-                self.assertFalse(keepers & {dead, witness, "r1"})
+                allocators = self.routers.list_allocators()
+                self.assertEqual(len(allocators), 2)
+                self.assertFalse(allocators & {dead, witness, "r1"})
 
     async def test_copies_are_missed_when_nobody_answers(self):
         self.routers.dead = set(NAMES)
@@ -76,8 +78,8 @@
         """A router that stops must pass on the copies that it keeps as a witness."""
         copies = self.routers.copies["r2"]
         copies.add("r1-a", BILLS, witness="r2-a")
-        await self.routers.make("r2").hand_on(copies)
-        self.assertEqual(len(self.routers.list_keepers() - {"r1", "r2"}), 2)
+        await self.routers.make("r2").transfer_copies(copies)
+        self.assertEqual(len(self.routers.list_allocators() - {"r1", "r2"}), 2)
 
     async def test_router_that_has_handed_its_copies_on_takes_no_more(self):
         """A router that has passed on its copies must not accept new ones.
@@ -85,7 +87,7 @@
         A copy accepted between that and its stop would be lost.
         """
         copies = self.routers.copies["r2"]
-        await self.routers.make("r2").hand_on(copies)
+        await self.routers.make("r2").transfer_copies(copies)
         self.assertFalse(copies.add("r1-a", BILLS, witness="r2-a"))
 
 
