--- a/anvilshift/core/allocators.py
+++ b/anvilshift/core/allocators.py
@@ -59,7 +59,7 @@
     Examples
     --------
     >>> allocators = AllocatorMap("r1")
-    >>> allocators.is_keeper("pounds")
+    >>> allocators.is_allocator("pounds")
     True
     >>> allocators.set_routers({"r1", "r2", "r3", "r4", "r5"})
     True
@@ -86,7 +86,7 @@
             self._cache[organisation] = list_allocators(organisation, self.routers)
         return self._cache[organisation]
 
-    def is_keeper(self, organisation: str) -> bool:
+    def is_allocator(self, organisation: str) -> bool:
         """Tell whether this router is a keeper of an organisation's tokens."""
         return self.own in self.list_allocators(organisation)
 
--- a/anvilshift/core/allotments.py
+++ b/anvilshift/core/allotments.py
@@ -148,8 +148,8 @@
     Examples
     --------
     >>> totals = Totals(1, {"pounds": 100})
-    >>> wish = ShareRequest(ceiling=80, least=10, spent=0)
-    >>> grown = Allotments().grant("r1", {"pounds": wish}, totals)
+    >>> request = ShareRequest(ceiling=80, least=10, spent=0)
+    >>> grown = Allotments().grant("r1", {"pounds": request}, totals)
     >>> grown.of("pounds").shares["r1"].ceiling, grown.of("pounds").free
     (55, 45)
     """
@@ -165,7 +165,7 @@
         return self.of(organisation).shares.get(holder, Share()).ceiling
 
     def grant(
-        self, holder: str, wishes: Mapping[str, ShareRequest], totals: Totals
+        self, holder: str, requests: Mapping[str, ShareRequest], totals: Totals
     ) -> "Allotments":
         """Return the allotments after granting a holder's requests where possible.
 
@@ -174,8 +174,10 @@
         write is then repeated.
         """
         changed = {
-            name: _apply_wish(_update_total(self.of(name), name, totals), holder, wish)
-            for name, wish in wishes.items()
+            name: _apply_request(
+                _update_total(self.of(name), name, totals), holder, request
+            )
+            for name, request in requests.items()
         }
         return Allotments({**self.organisations, **changed})
 
@@ -210,20 +212,22 @@
     return replace(allotment, total=total, version=totals.version)
 
 
-def _apply_wish(allotment: Allotment, holder: str, wish: ShareRequest) -> Allotment:
+def _apply_request(
+    allotment: Allotment, holder: str, request: ShareRequest
+) -> Allotment:
     old = allotment.shares.get(holder, Share())
     free = max(0, allotment.free)
     if allotment.free < 0:
         # The total was reduced below the sum of the ceilings.  Each holder returns
         # what it has not spent, up to the deficit; otherwise holders would go on
         # spending the withdrawn tokens for seconds.
-        ceiling = max(wish.spent, min(wish.ceiling, old.ceiling + allotment.free))
-    elif wish.ceiling <= old.ceiling:
-        ceiling = max(wish.ceiling, wish.spent)
+        ceiling = max(request.spent, min(request.ceiling, old.ceiling + allotment.free))
+    elif request.ceiling <= old.ceiling:
+        ceiling = max(request.ceiling, request.spent)
     else:
-        needed = min(free, max(0, wish.least - old.ceiling))
-        cushion = max(0, wish.ceiling - old.ceiling - needed)
+        needed = min(free, max(0, request.least - old.ceiling))
+        cushion = max(0, request.ceiling - old.ceiling - needed)
         spare = int((free - needed) * _MAX_CUSHION_FRACTION)
         ceiling = old.ceiling + needed + min(cushion, spare)
-    shares = {**allotment.shares, holder: Share(ceiling, wish.spent)}
+    shares = {**allotment.shares, holder: Share(ceiling, request.spent)}
     return replace(allotment, shares=shares)
--- a/anvilshift/core/backlog.py
+++ b/anvilshift/core/backlog.py
@@ -20,8 +20,8 @@
         work that is in no queue while the other routers are asked about it.
     """
 
-    def __init__(self, state: DispatchState, reach: TargetRestriction) -> None:
-        self._reach = reach
+    def __init__(self, state: DispatchState, restriction: TargetRestriction) -> None:
+        self._restriction = restriction
         self.entries: dict[str, tuple[Entry, Pool]] = {}
         self._state = state
 
@@ -81,7 +81,7 @@
         """Queue work until a target has room or it can't be answered in time."""
         identity = entry.work.identity
         self.entries[identity] = entry, pool
-        entry.allowed = self._reach.list_allowed(entry.work, pool, now)
+        entry.allowed = self._restriction.list_allowed(entry.work, pool, now)
         pool.find_queues(entry).push(entry)
         safe = pool.kind.durations.service_upper_bound(entry.work)
         latest = self._state.due(entry.work) - safe
--- a/anvilshift/core/balances.py
+++ b/anvilshift/core/balances.py
@@ -37,17 +37,17 @@
 
     Examples
     --------
-    >>> wallet = Balances("r1")
-    >>> wallet.configure({"pounds": 1_600}, now=0.0)
-    >>> wallet.reserve("pounds", "a", 60, now=0.0)
+    >>> balances = Balances("r1")
+    >>> balances.configure({"pounds": 1_600}, now=0.0)
+    >>> balances.reserve("pounds", "a", 60, now=0.0)
     False
     >>> from anvilshift.core.allotments import Allotment, Share
     >>> held = Allotment(1_600, shares={"r1": Share(100, 0)})
-    >>> wallet.take(Allotments({"pounds": held}), now=1.0)
-    >>> wallet.reserve("pounds", "a", 60, now=1.0)
+    >>> balances.take(Allotments({"pounds": held}), now=1.0)
+    >>> balances.reserve("pounds", "a", 60, now=1.0)
     True
-    >>> wallet.settle("pounds", "a", 25, now=2.0)
-    >>> wallet.balances["pounds"].available(now=2.0)
+    >>> balances.settle("pounds", "a", 25, now=2.0)
+    >>> balances.balances["pounds"].available(now=2.0)
     75
     """
 
@@ -119,12 +119,12 @@
         write took effect, this router could otherwise spend tokens that another
         router has since drawn.
         """
-        wishes = {}
+        requests = {}
         for name, balance in self.balances.items():
             if balance.needs_change(now):
-                wishes[name] = balance.make_share_request(now)
-                balance.ceiling = min(balance.ceiling, wishes[name].ceiling)
-        return wishes
+                requests[name] = balance.make_share_request(now)
+                balance.ceiling = min(balance.ceiling, requests[name].ceiling)
+        return requests
 
     def take(
         self, allotments: Allotments, now: Millis, known_for: Millis = FREE_KNOWN_FOR
@@ -152,7 +152,7 @@
         for balance in self.balances.values():
             balance.provable = provable
 
-    def set_keepers(self, allocators: AllocatorMap) -> None:
+    def set_allocators(self, allocators: AllocatorMap) -> None:
         """Update which routers are the keepers of each organisation's tokens."""
         for name, balance in self.balances.items():
             balance.rank = allocators.find_rank(name)
@@ -197,13 +197,13 @@
 
         Examples
         --------
-        >>> wallet = Balances("r1")
-        >>> wallet.balances["pounds"] = Balance(total=100, ceiling=100)
-        >>> wallet.reserve("pounds", "r2/7", 80, now=0.0)
+        >>> balances = Balances("r1")
+        >>> balances.balances["pounds"] = Balance(total=100, ceiling=100)
+        >>> balances.reserve("pounds", "r2/7", 80, now=0.0)
         True
-        >>> wallet.transfer_reservation("pounds", "r2/7", now=0.0)
+        >>> balances.transfer_reservation("pounds", "r2/7", now=0.0)
         80
-        >>> wallet.balances["pounds"].available(0.0)
+        >>> balances.balances["pounds"].available(0.0)
         20
         """
         given = self.balances[name].reserved.get(key, 0)
--- a/anvilshift/core/claims.py
+++ b/anvilshift/core/claims.py
@@ -133,7 +133,7 @@
     REUSED = "reused"
 
 
-def judge(found: Claim | None, wish: Claim) -> Verdict:
+def judge(found: Claim | None, request: Claim) -> Verdict:
     """Decide how to handle a request, given the claim found for its key.
 
     A found claim with the request's token is its own: the write took effect and only
@@ -143,7 +143,7 @@
     ----------
     found
         The claim in the store, if any.
-    wish
+    request
         The claim that the request wants to create.
 
     Examples
@@ -156,12 +156,12 @@
     """
     if found is None:
         return Verdict.RUN
-    if found.content != wish.content:
+    if found.content != request.content:
         return Verdict.REUSED
     if found.state is ClaimState.DONE:
         return Verdict.ANSWER
     if found.state is ClaimState.LOST:
         return Verdict.LOST
-    if found.state is ClaimState.VOID or found.token == wish.token:
+    if found.state is ClaimState.VOID or found.token == request.token:
         return Verdict.RUN
     return Verdict.WAIT
--- a/anvilshift/core/dispatcher.py
+++ b/anvilshift/core/dispatcher.py
@@ -70,17 +70,25 @@
 
     def __init__(self, settings: DispatchSettings, rng: random.Random) -> None:
         self._state = DispatchState(settings, rng)
-        self._reach = TargetRestriction(self._state)
-        self._backlog = Backlog(self._state, self._reach)
-        self._sender = Sender(self._state, self._backlog, self._reach)
+        self._restriction = TargetRestriction(self._state)
+        self._backlog = Backlog(self._state, self._restriction)
+        self._sender = Sender(self._state, self._backlog, self._restriction)
         self._relocation = Relocation(
-            self._state, self._backlog, self._reach, self._enqueue
+            self._state, self._backlog, self._restriction, self._enqueue
         )
         self._resending = Retrier(
-            self._state, self._backlog, self._sender, self._reach, self._relocation
+            self._state,
+            self._backlog,
+            self._sender,
+            self._restriction,
+            self._relocation,
         )
-        self._upkeep = HealthMonitor(
-            self._state, self._backlog, self._sender, self._reach, self._relocation
+        self._health_monitor = HealthMonitor(
+            self._state,
+            self._backlog,
+            self._sender,
+            self._restriction,
+            self._relocation,
         )
         self._rationing = TargetLimits(self._state, self._sender)
         self._last_sweep: Millis = 0.0
@@ -310,7 +318,7 @@
             return [self._state.refuse_quarantined(work)]
         entry = Entry(work, 0.0, 0.0)
         pool = self._state.pools.find(work.candidates)
-        if pool is not None and self._reach.has_no_usable_target(work, pool, now):
+        if pool is not None and self._restriction.has_no_usable_target(work, pool, now):
             return self._relocation.begin(entry, pool, now)
         return self._enqueue(entry, now)
 
@@ -335,9 +343,9 @@
         attempt.first = now
         work, span = attempt.entry.work, now - attempt.sent
         durations = attempt.pool.kind.durations
-        self._upkeep.compare(attempt, span)
+        self._health_monitor.compare(attempt, span)
         durations.add_first_token(work, span, now, attempt.warm)
-        return self._upkeep.check_health(attempt.view, now)
+        return self._health_monitor.check_health(attempt.view, now)
 
     def done(self, identity: str, tokens: int, now: Millis) -> Actions:
         """Record that an answer is complete and free its slot."""
@@ -348,7 +356,7 @@
         durations = attempt.pool.kind.durations
         if attempt.first is None:
             span = now - attempt.sent
-            self._upkeep.compare(attempt, span)
+            self._health_monitor.compare(attempt, span)
             durations.add_first_token(work, span, now)
         else:
             durations.add_answer_time(work, tokens, now - attempt.first, now)
@@ -357,7 +365,10 @@
         self._state.retries.earn()
         self._state.quarantine.clear(work.content)
         self._state.refresh(view)
-        return [*self._upkeep.check_health(view, now), *self._sender.fill(view, now)]
+        return [
+            *self._health_monitor.check_health(view, now),
+            *self._sender.fill(view, now),
+        ]
 
     def recorded(self, span: Millis) -> None:
         """Record how long the end of an answer was delayed until its bill was stored.
@@ -388,7 +399,7 @@
         if attempt.counts:
             view.health.add_failure(content or identity)
         self._state.refresh(view)
-        actions += self._upkeep.check_health(view, now)
+        actions += self._health_monitor.check_health(view, now)
         actions += self._resending.retry(entry, failure, now)
         return [*actions, *self._sender.fill(view, now)]
 
--- a/anvilshift/core/healthmonitor.py
+++ b/anvilshift/core/healthmonitor.py
@@ -25,13 +25,13 @@
         state: DispatchState,
         backlog: Backlog,
         sender: Sender,
-        reach: TargetRestriction,
+        restriction: TargetRestriction,
         relocation: Relocation,
     ) -> None:
         self._state = state
         self._backlog = backlog
         self._sender = sender
-        self._reach = reach
+        self._restriction = restriction
         self._relocation = relocation
         sender.on_sent = self._schedule_overdue_check
 
@@ -78,7 +78,7 @@
         # Plain services return no tokens, and calls to them can't be cancelled.
         if pool is None or not (work.idempotent and work.answer_tokens):
             return []
-        allowed = self._reach.list_allowed(work, pool, now)
+        allowed = self._restriction.list_allowed(work, pool, now)
         names = pool.open.draw(self._state.rng, 2) if allowed is None else allowed
         has_other = any(name in pool.open and name not in entry.tried for name in names)
         may_retry = entry.attempts < self._state.settings.attempts
--- a/anvilshift/core/holderaccounts.py
+++ b/anvilshift/core/holderaccounts.py
@@ -24,16 +24,16 @@
     Examples
     --------
     >>> from anvilshift.core.ledger import Grant
-    >>> escrow = HolderAccounts("r1")
-    >>> escrow.open("pounds", allowance=100, level=300)
-    >>> commit = escrow.begin_commit()
+    >>> holder_accounts = HolderAccounts("r1")
+    >>> holder_accounts.open("pounds", allowance=100, level=300)
+    >>> commit = holder_accounts.begin_commit()
     >>> commit.draws["pounds"].want
     300
     >>> grant = Grant(drawn=300, allowance=100)
-    >>> _ = escrow.finish_commit(commit, Outcome(grants={"pounds": grant}))
-    >>> escrow.reserve("pounds", "request-1", 250)
+    >>> _ = holder_accounts.finish_commit(commit, Outcome(grants={"pounds": grant}))
+    >>> holder_accounts.reserve("pounds", "request-1", 250)
     True
-    >>> escrow.reserve("pounds", "request-2", 100)
+    >>> holder_accounts.reserve("pounds", "request-2", 100)
     False
     """
 
--- a/anvilshift/core/lease.py
+++ b/anvilshift/core/lease.py
@@ -76,7 +76,7 @@
             return 0.0
         return now - self._renewing_since
 
-    def may_serve(self, roster: MemberTable, seen: int, now: Millis) -> bool:
+    def may_serve(self, members: MemberTable, seen: int, now: Millis) -> bool:
         """Tell whether the router may take new work.
 
         It must be called at every heartbeat.  A router that stopped stays stopped
@@ -85,7 +85,7 @@
 
         Parameters
         ----------
-        roster
+        members
             Other routers, as known from their records and heartbeats.
         seen
             Revision up to which this router knows the other routers' records.
@@ -96,7 +96,11 @@
         # After a pause of the process, heartbeats queued in its sockets arrive as
         # if they were new, but don't show the current state of their senders.
         paused = last_checked is None or now - last_checked > self.span / _PAUSE_DIVISOR
-        if self._renewed_at is None or paused or not roster.is_platform_down(seen, now):
+        if (
+            self._renewed_at is None
+            or paused
+            or not members.is_platform_down(seen, now)
+        ):
             self._stopped = True
         return not self._stopped
 
--- a/anvilshift/core/membership.py
+++ b/anvilshift/core/membership.py
@@ -110,8 +110,8 @@
     Examples
     --------
     >>> member = Member("r2", "r2-a", "h2", "127.0.0.1:1", "127.0.0.1:2", "north")
-    >>> roster = MemberTable(lease=5_000.0).record(member, now=0.0)
-    >>> roster.lost(now=4_000.0), len(roster.lost(now=6_000.0))
+    >>> members = MemberTable(lease=5_000.0).record(member, now=0.0)
+    >>> members.lost(now=4_000.0), len(members.lost(now=6_000.0))
     ([], 1)
     """
 
@@ -128,18 +128,18 @@
             # The platform's watch may deliver a record older than the last
             # heartbeat; `seen` never decreases within one incarnation.
             member = replace(member, seen=max(member.seen, base.member.seen))
-        sighting = replace(base or MemberStatus(member, now), member=member, seen=now)
+        status = replace(base or MemberStatus(member, now), member=member, seen=now)
         return replace(
-            self, member_statuses={**self.member_statuses, member.name: sighting}
+            self, member_statuses={**self.member_statuses, member.name: status}
         )
 
     def hear(
         self, member: Member, heartbeat_status: HeartbeatStatus, now: Millis
     ) -> "MemberTable":
         """Return the roster updated with a member's heartbeat."""
-        sighting = MemberStatus(member, now, heartbeat_status, heard=now)
+        status = MemberStatus(member, now, heartbeat_status, heard=now)
         return replace(
-            self, member_statuses={**self.member_statuses, member.name: sighting}
+            self, member_statuses={**self.member_statuses, member.name: status}
         )
 
     def remove(self, name: str) -> "MemberTable":
@@ -157,8 +157,8 @@
         """Return the members with a renewal or heartbeat within one lease."""
         return [s for s in self.member_statuses.values() if not self._is_lost(s, now)]
 
-    def _is_lost(self, sighting: MemberStatus, now: Millis) -> bool:
-        return now - sighting.seen > self.lease
+    def _is_lost(self, status: MemberStatus, now: Millis) -> bool:
+        return now - status.seen > self.lease
 
     def _list_joined_by(self, seen: int) -> list[MemberStatus]:
         """Return the members that had joined by a revision of the platform.
@@ -180,16 +180,16 @@
             routers' records.
         """
         heard = [
-            sighting
-            for sighting in self.member_statuses.values()
-            if sighting.heard is not None and now - sighting.heard <= self.lease
+            status
+            for status in self.member_statuses.values()
+            if status.heard is not None and now - status.heard <= self.lease
         ]
-        if any(sighting.heartbeat_status.renewing_for > 0 for sighting in heard):
+        if any(status.heartbeat_status.renewing_for > 0 for status in heard):
             return False
         # Routers that joined later are left out: the vote on removing this router
         # leaves them out as well (see `may_remove`).
         known = self._list_joined_by(seen)
-        reachable = sum(sighting in heard for sighting in known) + 1
+        reachable = sum(status in heard for status in known) + 1
         return 2 * reachable > len(known) + 1
 
     def may_remove(
@@ -202,10 +202,10 @@
         it.  A router counts in favour if it reported after the loss that its
         renewals have succeeded for `_MIN_RENEWING_LEASES` leases.
         """
-        sighting = self.member_statuses.get(lost.name)
-        if sighting is None or not self._is_lost(sighting, now):
+        status = self.member_statuses.get(lost.name)
+        if status is None or not self._is_lost(status, now):
             return False
-        since = sighting.seen + self.lease
+        since = status.seen + self.lease
         min_renewing = _MIN_RENEWING_LEASES * self.lease
         known = self._list_joined_by(lost.seen)
         voters = [
--- a/anvilshift/core/permits.py
+++ b/anvilshift/core/permits.py
@@ -105,10 +105,10 @@
 
     Examples
     --------
-    >>> desk = PermitQueue(RequestLog())
+    >>> permit_queue = PermitQueue(RequestLog())
     >>> now = 1_000.0
     >>> bids = [Bid(f"r1/{n}", "pounds", 1, now, now + 100.0, now) for n in range(3)]
-    >>> [desk.ask(bid, 1.0, now).state.value for bid in bids]
+    >>> [permit_queue.ask(bid, 1.0, now).state.value for bid in bids]
     ['granted', 'refused', 'refused']
     """
 
--- a/anvilshift/core/relocation.py
+++ b/anvilshift/core/relocation.py
@@ -39,12 +39,12 @@
         self,
         state: DispatchState,
         backlog: Backlog,
-        reach: TargetRestriction,
+        restriction: TargetRestriction,
         enter: Callable[[Entry, Millis], Actions],
     ) -> None:
         self._state = state
         self._backlog = backlog
-        self._reach = reach
+        self._restriction = restriction
         self._enter = enter
 
     def begin(self, entry: Entry, pool: Pool, now: Millis) -> Actions:
@@ -68,7 +68,7 @@
         ]
         actions: Actions = []
         for entry, pool in waiting:
-            if self._reach.has_no_usable_target(entry.work, pool, now):
+            if self._restriction.has_no_usable_target(entry.work, pool, now):
                 pool.find_queues(entry).remove(entry)
                 del self._backlog.entries[entry.work.identity]
                 actions += self.begin(entry, pool, now)
@@ -81,11 +81,11 @@
             return None
         if state.quarantine.list_charged_targets(work.content):
             return None
-        homes = self._reach.list_allowed(work, pool, now) or ()
+        homes = self._restriction.list_allowed(work, pool, now) or ()
         if not all(self._is_unaffected_by_lost_router(name, now) for name in homes):
             return None
         ranked = pool.order(work.content)
-        usable = (name for name in ranked if self._reach.is_used(name, pool))
+        usable = (name for name in ranked if self._restriction.is_used(name, pool))
         return next(usable, None)
 
     def _is_unaffected_by_lost_router(self, home: str, now: Millis) -> bool:
@@ -131,7 +131,7 @@
         for entry, pool in waiting:
             pool.find_queues(entry).remove(entry)
             del self._backlog.entries[entry.work.identity]
-            if self._reach.has_no_usable_target(entry.work, pool, now):
+            if self._restriction.has_no_usable_target(entry.work, pool, now):
                 actions.append(self._backlog.refuse_stuck(entry))
             else:
                 actions += self._enter(entry, now)
--- a/anvilshift/core/retrier.py
+++ b/anvilshift/core/retrier.py
@@ -25,13 +25,13 @@
         state: DispatchState,
         backlog: Backlog,
         sender: Sender,
-        reach: TargetRestriction,
+        restriction: TargetRestriction,
         relocation: Relocation,
     ) -> None:
         self._state = state
         self._backlog = backlog
         self._sender = sender
-        self._reach = reach
+        self._restriction = restriction
         self._relocation = relocation
 
     def retry(self, entry: Entry, failure: Failure, now: Millis) -> Actions:
@@ -49,7 +49,7 @@
             return [refusal]
         if pool is None or not pool.usable:
             return [refusal]
-        if self._reach.has_no_usable_target(work, pool, now):
+        if self._restriction.has_no_usable_target(work, pool, now):
             return self._relocation.begin(entry, pool, now) if never_ran else [refusal]
         if self._state.would_miss_deadline(entry, pool, now):
             return [refusal]
@@ -93,6 +93,6 @@
             work.content, now
         ):
             return [self._state.refuse_quarantined(work)]
-        if pool is not None and self._reach.has_no_usable_target(work, pool, now):
+        if pool is not None and self._restriction.has_no_usable_target(work, pool, now):
             return [self._backlog.refuse_stuck(entry)]
         return self.requeue(entry, now)
--- a/anvilshift/core/sending.py
+++ b/anvilshift/core/sending.py
@@ -33,13 +33,13 @@
     """
 
     def __init__(
-        self, state: DispatchState, backlog: Backlog, reach: TargetRestriction
+        self, state: DispatchState, backlog: Backlog, restriction: TargetRestriction
     ) -> None:
         self.running: dict[str, Attempt] = {}
         self.on_sent: Callable[[Attempt, Millis], None] = lambda attempt, now: None
         self._state = state
         self._backlog = backlog
-        self._reach = reach
+        self._restriction = restriction
 
     def offer(self, entry: Entry, pool: Pool, now: Millis) -> Actions:
         """Send work immediately if an eligible target has a free slot."""
@@ -49,7 +49,7 @@
             return []
         if self._state.quarantine.is_quarantined(entry.work.content, now):
             return [self._refuse_quarantined(entry, pool)]
-        allowed = self._reach.list_allowed(entry.work, pool, now)
+        allowed = self._restriction.list_allowed(entry.work, pool, now)
         names = self._list_candidates(entry, pool) if allowed is None else allowed
         names = [name for name in dict.fromkeys(names) if name in pool.open]
         views = [self._state.views[name] for name in names]
@@ -111,7 +111,7 @@
         """
         work, name = entry.work, view.target.name
         pool = self._backlog.entries[work.identity][1]
-        allowed = self._reach.list_allowed(work, pool, now)
+        allowed = self._restriction.list_allowed(work, pool, now)
         if allowed is not None and name not in allowed:
             return False
         if name in entry.tried and self.has_untried_target(entry, pool, now):
@@ -127,7 +127,7 @@
 
     def has_untried_target(self, entry: Entry, pool: Pool, now: Millis) -> bool:
         """Return whether some usable target hasn't been tried for work yet."""
-        usable = self._reach.list_usable(entry.work, pool, now)
+        usable = self._restriction.list_usable(entry.work, pool, now)
         if usable is None:
             return len(entry.tried) < pool.usable
         return any(name not in entry.tried for name in usable)
--- a/anvilshift/core/tokensearch.py
+++ b/anvilshift/core/tokensearch.py
@@ -54,11 +54,11 @@
 
     Examples
     --------
-    >>> hunt = TokenSearch(("r1", "r2"))
-    >>> hunt.find_next(0.0), hunt.find_next(10.0), hunt.find_next(60.0)
+    >>> search = TokenSearch(("r1", "r2"))
+    >>> search.find_next(0.0), search.find_next(10.0), search.find_next(60.0)
     ('r1', None, 'r1')
-    >>> hunt.note(Answer(certain=False, wait=400.0))
-    >>> hunt.find_next(65.0)
+    >>> search.note(Answer(certain=False, wait=400.0))
+    >>> search.find_next(65.0)
     'r2'
     """
 
--- a/anvilshift/gateway/conversation.py
+++ b/anvilshift/gateway/conversation.py
@@ -99,7 +99,7 @@
         self.allotter.alone = not peers
         known = self.allocators.routers
         if names and self.allocators.set_routers(names):
-            self.allotter.wallet.set_keepers(self.allocators)
+            self.allotter.balances.set_allocators(self.allocators)
             if names - known:
                 self.allotter.found_at = self.clock.now()
 
@@ -116,7 +116,7 @@
         peer = self.peers.routers.get(allocator)
         if peer is None:
             return False
-        keeping = self.allocators.is_keeper(organisation)
+        keeping = self.allocators.is_allocator(organisation)
         ip = self.settings.ip
         ask = Ask(self.incarnation, number, ip, organisation, tokens, keeping)
         self.peers.send(ask, peer.beat.ip)
@@ -124,10 +124,10 @@
 
     def return_unused_tokens(self) -> None:
         """Return the unused tokens of this router to the keepers."""
-        for gift, ip in self.reservations.return_idle(self._find_keeper):
+        for gift, ip in self.reservations.return_idle(self._find_allocator):
             self.peers.send(gift, ip)
 
-    def _find_keeper(self, organisation: str) -> tuple[str, str] | None:
+    def _find_allocator(self, organisation: str) -> tuple[str, str] | None:
         """Return the incarnation and address of a keeper that is present."""
         for name in self.allocators.list_others(organisation):
             peer = self.peers.routers.get(name)
--- a/anvilshift/gateway/limits.py
+++ b/anvilshift/gateway/limits.py
@@ -52,11 +52,11 @@
     peers: Peers
     clock: Clock
     journal: Journal
-    attendance: RouterPresence = field(default_factory=RouterPresence)
+    presence: RouterPresence = field(default_factory=RouterPresence)
     hooks: LimitCallbacks = field(default_factory=LimitCallbacks)
 
     def __post_init__(self) -> None:
-        self.attendance.note({self.own}, (), self.clock.now())
+        self.presence.note({self.own}, (), self.clock.now())
 
     # Limits and pauses announced by targets
 
@@ -167,7 +167,7 @@
 
     def find_issuer(self, name: str) -> str:
         """Return the router that issues the permits for a target."""
-        return self.attendance.find_issuer(name)
+        return self.presence.find_issuer(name)
 
     def find_ip(self, router: str) -> str | None:
         """Return a router's address; None if it isn't present."""
@@ -176,8 +176,8 @@
 
     def note_routers(self, names: Collection[str], leaving: Collection[str]) -> None:
         """Update which routers are present and which of them are leaving."""
-        before = self.attendance.list_issuers()
-        if not self.attendance.note(names or {self.own}, leaving, self.clock.now()):
+        before = self.presence.list_issuers()
+        if not self.presence.note(names or {self.own}, leaving, self.clock.now()):
             return
         for name in self._list_limited_targets():
             if self.find_issuer(name) != before.get(name):
@@ -188,7 +188,7 @@
         """Return the rate for all reachable routers, per second; None for no limit."""
         now = self.clock.now()
         rate = target.find_rate(now)
-        return None if rate is None else rate * self.attendance.find_part(now)
+        return None if rate is None else rate * self.presence.find_part(now)
 
     def remove_expired(self, now: Millis) -> None:
         """Remove limits that have expired."""
--- a/anvilshift/gateway/node.py
+++ b/anvilshift/gateway/node.py
@@ -110,7 +110,7 @@
             self.incarnation,
             clock,
             journal,
-            self.allotter.wallet,
+            self.allotter.balances,
             self.marks,
         )
         self.allocators = AllocatorMap(settings.name)
@@ -225,7 +225,7 @@
         organisations = configuration.organisations
         totals = {name: one.reserved for name, one in organisations.items()}
         self.allotter.configure(configuration.version, totals)
-        self.allotter.wallet.set_keepers(self.allocators)
+        self.allotter.balances.set_allocators(self.allocators)
         self.reservations.forget_refusals()
         limits = configuration.limits
         self.server.limits = Limits(
@@ -354,7 +354,7 @@
         for follower in (self.configuration_follower, self.target_follower):
             follower.stretch = find_interval_factor(routers)
         self.recorder.routers = self.allocators.count_allocators()
-        self.allotter.wallet.set_provable(self.recorder.can_prove_age())
+        self.allotter.balances.set_provable(self.recorder.can_prove_age())
         self.messenger.return_unused_tokens()
         self.loads.expire(now)
         self.permits.sweep(now)
--- a/anvilshift/gateway/permits.py
+++ b/anvilshift/gateway/permits.py
@@ -95,20 +95,20 @@
     peers: Peers
     clock: Clock
     journal: Journal
-    _desks: dict[str, PermitQueue] = field(default_factory=dict)
+    _permit_queues: dict[str, PermitQueue] = field(default_factory=dict)
     _askers: dict[str, str] = field(default_factory=dict)
     _pending: dict[str, _PendingAsk] = field(default_factory=dict)
     _timers: dict[str, asyncio.TimerHandle] = field(default_factory=dict)
     _reported_at: Millis = 0.0
 
     def __post_init__(self) -> None:
-        self.book.hooks = LimitCallbacks(self._serve, self._close_desk)
+        self.book.hooks = LimitCallbacks(self._serve, self._close_permit_queue)
 
     def handle_suspension(self) -> None:
         """Issue no permits for a while after this process was suspended."""
         opens = self.clock.now() + TAKEOVER_DELAY
-        for desk in self._desks.values():
-            desk.opens = opens
+        for permit_queue in self._permit_queues.values():
+            permit_queue.opens = opens
 
     # Requests of this router
 
@@ -220,9 +220,9 @@
 
     def handle_withdrawal(self, message: PermitDropped) -> None:
         """Remove the bid of a request that no longer waits."""
-        desk = self._desks.get(message.target)
-        if desk is not None:
-            desk.withdraw(message.run)
+        permit_queue = self._permit_queues.get(message.target)
+        if permit_queue is not None:
+            permit_queue.withdraw(message.run)
         self._askers.pop(message.run, None)
 
     def _decide(self, ask: PermitAsk) -> None:
@@ -238,17 +238,17 @@
             now + ask.patience,
             now,
         )
-        desk = self._find_desk(target)
-        self._answer(desk.ask(bid, self.book.find_rate(target), now))
+        permit_queue = self._find_permit_queue(target)
+        self._answer(permit_queue.ask(bid, self.book.find_rate(target), now))
         self._set_timer(ask.target)
 
-    def _find_desk(self, target: TargetLoad) -> PermitQueue:
+    def _find_permit_queue(self, target: TargetLoad) -> PermitQueue:
         name = target.info.name
-        desk = self._desks.get(name)
-        if desk is None or not desk.is_of(target.meter):
-            desk = PermitQueue(target.meter, self.clock.now() + TAKEOVER_DELAY)
-            self._desks[name] = desk
-        return desk
+        permit_queue = self._permit_queues.get(name)
+        if permit_queue is None or not permit_queue.is_of(target.meter):
+            permit_queue = PermitQueue(target.meter, self.clock.now() + TAKEOVER_DELAY)
+            self._permit_queues[name] = permit_queue
+        return permit_queue
 
     def _answer(self, verdict: Verdict) -> None:
         """Send a verdict to its request, at this or another router."""
@@ -265,26 +265,32 @@
 
     def _serve(self, name: str) -> None:
         """Issue the permits that are due."""
-        desk, target = self._desks.get(name), self.loads.targets.get(name)
-        if desk is None or target is None:
+        permit_queue, target = (
+            self._permit_queues.get(name),
+            self.loads.targets.get(name),
+        )
+        if permit_queue is None or target is None:
             return
         rate, now = self.book.find_rate(target), self.clock.now()
-        for verdict in desk.serve(rate, now, _BID_TIMEOUT):
+        for verdict in permit_queue.serve(rate, now, _BID_TIMEOUT):
             self._answer(verdict)
         self._set_timer(name)
 
-    def _close_desk(self, name: str) -> None:
-        self._desks.pop(name, None)
+    def _close_permit_queue(self, name: str) -> None:
+        self._permit_queues.pop(name, None)
 
     def _set_timer(self, name: str) -> None:
         timer = self._timers.pop(name, None)
         if timer is not None:
             timer.cancel()
-        desk, target = self._desks.get(name), self.loads.targets.get(name)
-        if desk is None or target is None or not desk.waiting:
+        permit_queue, target = (
+            self._permit_queues.get(name),
+            self.loads.targets.get(name),
+        )
+        if permit_queue is None or target is None or not permit_queue.waiting:
             return
         now = self.clock.now()
-        due = desk.find_next(self.book.find_rate(target), now)
+        due = permit_queue.find_next(self.book.find_rate(target), now)
         loop = asyncio.get_running_loop()
         delay = (due - now) / SECOND
         self._timers[name] = loop.call_later(delay, self._serve, name)
@@ -294,10 +300,10 @@
     def sweep(self, now: Millis) -> None:
         """Remove expired limits and unused state; log the use of limits each second."""
         self.book.remove_expired(now)
-        for name in list(self._desks):
+        for name in list(self._permit_queues):
             target = self.loads.targets.get(name)
             if target is None or target.limit is None:
-                self._close_desk(name)
+                self._close_permit_queue(name)
         if now - self._reported_at >= _REPORT_INTERVAL:
             self._reported_at = now
             self._remove_askers()
@@ -306,11 +312,13 @@
     def _remove_askers(self) -> None:
         """Forget the addresses of asks that are no longer queued."""
         for run in list(self._askers):
-            if not any(run in desk for desk in self._desks.values()):
+            if not any(
+                run in permit_queue for permit_queue in self._permit_queues.values()
+            ):
                 del self._askers[run]
 
     def _report(self, now: Millis) -> None:
-        for name, desk in self._desks.items():
+        for name, permit_queue in self._permit_queues.items():
             target = self.loads.targets[name]
             rate = self.book.find_rate(target)
             if rate is None:
@@ -320,7 +328,7 @@
                 target=name,
                 rate=round(rate, 3),
                 lately=target.meter.count(now),
-                issued=desk.issued,
-                refused=desk.refused,
-                waiting=desk.waiting,
+                issued=permit_queue.issued,
+                refused=permit_queue.refused,
+                waiting=permit_queue.waiting,
             )
--- a/anvilshift/gateway/recording.py
+++ b/anvilshift/gateway/recording.py
@@ -88,7 +88,7 @@
     holder: str
     clock: Clock
     journal: Journal
-    wallet: Balances
+    balances: Balances
     marks: MarkLog
     routers: int = 1
     boot: str = field(default_factory=read_boot)
@@ -132,7 +132,7 @@
                 async with asyncio.timeout(self._find_period() / SECOND):
                     await self._wake.wait()
             self._wake.clear()
-            if not self.wallet.must_record_use() and self._unanswered is None:
+            if not self.balances.must_record_use() and self._unanswered is None:
                 continue
             pause = self._find_period() / _MAX_RECORDS
             self._write_begun_at = self.clock.now()
@@ -171,7 +171,7 @@
             self.read_wall(),
             self.boot,
             tuple((round(span), mark.revision) for span, mark in spans),
-            self.wallet.make_uses(now),
+            self.balances.make_uses(now),
         )
 
     async def _write(self) -> None:
@@ -180,7 +180,7 @@
         resent = self._unanswered
         record = resent or self._make_record()
         if resent is None:
-            self.wallet.pace(record)
+            self.balances.pace(record)
         self._unanswered = record
         try:
             stored = await self.store.put(
@@ -194,7 +194,7 @@
         self._note_success()
         self._unanswered = None
         self._version = stored.version
-        self.wallet.confirm_record(record)
+        self.balances.confirm_record(record)
         if resent is not None:
             # The record dates from before an outage; no bound on its age can be
             # proved any more.
--- a/anvilshift/gateway/reserving.py
+++ b/anvilshift/gateway/reserving.py
@@ -75,7 +75,7 @@
         recorder: Recorder | None = None,
     ) -> None:
         self.allotter = allotter
-        self.wallet = allotter.wallet
+        self.balances = allotter.balances
         self.allocators = allocators
         self.clock = clock
         self.journal = journal
@@ -94,7 +94,7 @@
 
     def settle(self, name: str, key: str, tokens: int) -> None:
         """Replace a request's reservation by what it used; 0 when it did not run."""
-        self.wallet.settle(name, key, tokens, self.clock.now())
+        self.balances.settle(name, key, tokens, self.clock.now())
 
     async def reserve(self, name: str, key: str, tokens: int, until: Millis) -> None:
         """Reserve tokens for a request.
@@ -106,7 +106,7 @@
             there may be enough tokens but they can't be drawn now.
         """
         now = self.clock.now()
-        if not self.wallet.reserve(name, key, tokens, now):
+        if not self.balances.reserve(name, key, tokens, now):
             search = self._begin_search(self.allocators.list_others(name))
             await self._wait(name, key, tokens, min(until, now + _MAX_WAIT), search)
 
@@ -124,7 +124,7 @@
             while not await self._search(name, key, tokens, until, search):
                 search = self._begin_search(search.allocators)
         finally:
-            self.wallet.give_up(name, key)
+            self.balances.give_up(name, key)
 
     def _check_refusals(self, name: str, key: str, tokens: int, until: Millis) -> None:
         known, now = self._refusals.get(name), self.clock.now()
@@ -150,7 +150,7 @@
             while (now := self.clock.now()) < until:
                 self._request_tokens(name, tokens, number, now)
                 await self._wait_round(until)
-                if self.wallet.reserve(name, key, tokens, self.clock.now()):
+                if self.balances.reserve(name, key, tokens, self.clock.now()):
                     return True
                 if self._is_soon(name, key, until):
                     continue
@@ -158,14 +158,14 @@
                     break
                 if not self._has_failed(name, tokens, search):
                     continue
-                if not await self._wait_for_keeper(until, search):
+                if not await self._wait_for_allocator(until, search):
                     break
                 return False
         finally:
             del self._searches[number]
         raise self._refuse(name, key, tokens, search)
 
-    async def _wait_for_keeper(self, until: Millis, search: TokenSearch) -> bool:
+    async def _wait_for_allocator(self, until: Millis, search: TokenSearch) -> bool:
         """Wait until a keeper may have the tokens; False if the deadline is sooner."""
         wait = search.find_wait()
         if wait is None and self.allotter.has_just_started():
@@ -178,7 +178,7 @@
 
     def _request_tokens(self, name: str, tokens: int, number: int, now: Millis) -> None:
         """Trigger a record, an ask or a draw, whichever may provide the tokens."""
-        search, balance = self._searches[number], self.wallet.balances[name]
+        search, balance = self._searches[number], self.balances.balances[name]
         if self.recorder and tokens <= balance.ready:
             self.recorder.record_soon()
         allocator = search.find_next(now)
@@ -186,12 +186,12 @@
         if allocator is not None and not self.ask(allocator, number, name, lacking):
             search.skip()
         if search.is_unanswered(now):
-            self.wallet.record_missing_allocator(name, now)
+            self.balances.record_missing_allocator(name, now)
         self.allotter.wake()
 
     def _has_failed(self, name: str, tokens: int, search: TokenSearch) -> bool:
         """Tell whether no keeper, no record and no draw can provide the tokens."""
-        now, balance = self.clock.now(), self.wallet.balances[name]
+        now, balance = self.clock.now(), self.balances.balances[name]
         if not search.is_over(now):
             return False
         if self.allotter.has_just_started() and balance.draws(now):
@@ -200,7 +200,7 @@
             return False
         if not balance.draws(now):
             return True
-        stale = self.allotter.failing or self.wallet.is_depleted(name, now)
+        stale = self.allotter.failing or self.balances.is_depleted(name, now)
         return stale or search.has_drawn(self.allotter.writes_ended)
 
     def _may_record(self, search: TokenSearch) -> bool:
@@ -213,7 +213,7 @@
     def _is_soon(self, name: str, key: str, until: Millis) -> bool:
         """Tell whether enough of the ready tokens may be spent before the deadline."""
         now = self.clock.now()
-        wait = self.wallet.find_wait(name, key, now)
+        wait = self.balances.find_wait(name, key, now)
         return wait is not None and now + wait < until
 
     async def _wait_round(self, until: Millis) -> None:
@@ -224,7 +224,7 @@
                 await self.allotter.wait_for_update()
 
     def _is_certain(self, name: str, tokens: int, search: TokenSearch) -> bool:
-        if self.allocators.is_keeper(name):
+        if self.allocators.is_allocator(name):
             return self.allotter.is_exhausted(name, tokens)
         return search.is_certain()
 
@@ -234,7 +234,7 @@
         """Return the error for a request; remember it for others as large."""
         now = self.clock.now()
         certain = self._is_certain(name, tokens, search)
-        waits = [self.wallet.find_wait(name, key, now), search.find_wait()]
+        waits = [self.balances.find_wait(name, key, now), search.find_wait()]
         if self.allotter.has_just_started():
             waits.append(_RETRY_DELAY_AT_START)
         known = [wait for wait in waits if wait is not None and wait > 0.0]
@@ -245,8 +245,8 @@
     def _make_refusal(
         self, name: str, tokens: int, certain: bool, wait: Millis | None
     ) -> AnvilshiftError:
-        balance, now = self.wallet.balances[name], self.clock.now()
-        known = self.wallet.seen.of(name)
+        balance, now = self.balances.balances[name], self.clock.now()
+        known = self.balances.seen.of(name)
         self.journal.write(
             "budget_refused",
             organisation=name,
@@ -287,13 +287,13 @@
 
     async def _answer(self, ask: Ask) -> Gift | Lack:
         name, key = ask.organisation, f"{ask.holder}#{ask.number}"
-        if name not in self.wallet.balances:
+        if name not in self.balances.balances:
             return Lack(ask.holder, ask.number, name, False, _RETRY_DELAY)
         now = self.clock.now()
-        if not self.wallet.reserve(name, key, ask.tokens, now):
+        if not self.balances.reserve(name, key, ask.tokens, now):
             if ask.keeping:
                 # Another keeper asks as a last resort and draws for itself meanwhile.
-                self.wallet.give_up(name, key)
+                self.balances.give_up(name, key)
                 return Lack(ask.holder, ask.number, name, False, _RETRY_DELAY)
             # The asking router asks the other keeper itself.
             search = self._begin_search(())
@@ -303,7 +303,7 @@
                 certain = error.code is BUDGET_EXHAUSTED
                 wait = float(error.retry_after or _RETRY_DELAY)
                 return Lack(ask.holder, ask.number, name, certain, wait)
-        tokens = self.wallet.transfer_reservation(name, key, self.clock.now())
+        tokens = self.balances.transfer_reservation(name, key, self.clock.now())
         return self._make_gift(ask.holder, name, tokens)
 
     def _make_gift(self, holder: str, name: str, tokens: int) -> Gift:
@@ -311,21 +311,21 @@
         return Gift(self.allotter.holder, self._last_gift, holder, name, tokens)
 
     def return_idle(
-        self, find_keeper: Callable[[str], tuple[str, str] | None]
+        self, find_allocator: Callable[[str], tuple[str, str] | None]
     ) -> list[tuple[Gift, str]]:
         """Return gifts of idle tokens, each with the address of its receiver.
 
         Parameters
         ----------
-        find_keeper
+        find_allocator
             Returns the incarnation and the address of a keeper of an
             organisation's tokens; None if there is none.
         """
         gifts = []
-        for name, tokens in self.wallet.find_returnable(self.clock.now()).items():
-            allocator = find_keeper(name)
+        for name, tokens in self.balances.find_returnable(self.clock.now()).items():
+            allocator = find_allocator(name)
             if allocator is not None:
-                self.wallet.debit(name, tokens)
+                self.balances.debit(name, tokens)
                 gifts.append(
                     (self._make_gift(allocator[0], name, tokens), allocator[1])
                 )
@@ -337,7 +337,7 @@
             return
         # A datagram may arrive twice; a gift counted twice would cause overspending.
         if self._received.setdefault(gift.giver, SequenceNumbers()).take(gift.number):
-            self.wallet.receive(gift.organisation, gift.tokens)
+            self.balances.receive(gift.organisation, gift.tokens)
             self.allotter.end_round()
 
     def apply_lack(self, lack: Lack) -> None:
--- a/anvilshift/gateway/shares.py
+++ b/anvilshift/gateway/shares.py
@@ -99,7 +99,7 @@
     _updated_at: Millis = -1e12
 
     def __post_init__(self) -> None:
-        self.wallet = Balances(self.holder)
+        self.balances = Balances(self.holder)
         self._object = CachedObject(self.store, KIND, NAME)
         self._begun = False
         self._former_settled = False
@@ -110,7 +110,7 @@
         """Apply the prepaid totals of a configuration; None means no limit."""
         limited = {name: total for name, total in totals.items() if total is not None}
         self.totals = Totals(version, limited)
-        self.wallet.configure(totals, self.clock.now())
+        self.balances.configure(totals, self.clock.now())
         self._wake.set()
 
     def wake(self) -> None:
@@ -132,7 +132,7 @@
     def is_exhausted(self, name: str, tokens: int) -> bool:
         """Tell whether a total is known to be too small for a number of tokens."""
         recent = self.find_shares_age() < _TOTALS_MAX_AGE
-        return recent and self.wallet.is_exhausted(name, tokens)
+        return recent and self.balances.is_exhausted(name, tokens)
 
     def record_ended(self, holder: str, spent: Mapping[str, int]) -> None:
         """Record the final spending of another router that has ended."""
@@ -148,7 +148,7 @@
 
     def list_spent(self) -> dict[str, int]:
         """Return the tokens spent or reserved here, by organisation."""
-        return {name: balance.spent for name, balance in self.wallet.balances.items()}
+        return {name: balance.spent for name, balance in self.balances.balances.items()}
 
     async def run(self) -> None:
         """Draw and return tokens until cancelled."""
@@ -199,15 +199,15 @@
             return now - self._started_at >= _MAX_FIRST_WRITE_DELAY or (
                 discovery_over and not self.alone
             )
-        if self.wallet.has_drawable_waiters(now):
+        if self.balances.has_drawable_waiters(now):
             return True
-        if self.ended.keys() & self.wallet.seen.list_holders():
+        if self.ended.keys() & self.balances.seen.list_holders():
             return True
         interval_over = (
             self.writes_ended < _FIRST_WRITES
             or now - self._updated_at >= _MIN_IDLE_WRITE_INTERVAL
         )
-        return interval_over and self.wallet.wants_change(now)
+        return interval_over and self.balances.wants_change(now)
 
     def end_round(self) -> None:
         """Wake all callers of `wait_for_update`."""
@@ -228,7 +228,7 @@
         if not self._begun and await self._begin_empty():
             return
         now = self.clock.now()
-        wishes = self.wallet.make_share_requests(now)
+        requests = self.balances.make_share_requests(now)
         self._writes += 1
         mark = f"{self.holder}:{self._writes}"
 
@@ -240,7 +240,7 @@
             if body is not None and body.get("mark") == mark:
                 return body
             allotments = self._end_former(read_allotments(body))
-            allotments = allotments.grant(self.holder, wishes, self.totals)
+            allotments = allotments.grant(self.holder, requests, self.totals)
             return {**encode(allotments), "mark": mark}
 
         stored = await self._object.update(change)
@@ -249,8 +249,8 @@
         known_for = (
             _FREE_KNOWN_FOR_AT_START if self.has_just_started() else FREE_KNOWN_FOR
         )
-        self.wallet.take(read_allotments(stored.body), self._updated_at, known_for)
-        self._log_shares(stored.version, list(wishes))
+        self.balances.take(read_allotments(stored.body), self._updated_at, known_for)
+        self._log_shares(stored.version, list(requests))
         if self.failing:
             self.failing = False
             self.journal.write("shares_regained")
@@ -261,7 +261,7 @@
         In a large fleet all routers start at once.  If each of them wrote the shared
         object, their writes would conflict for seconds.
         """
-        if self.wallet.must_record_use():
+        if self.balances.must_record_use():
             return False
         stored = await self.store.get(KIND, NAME)
         allotments = read_allotments(stored.body if stored else None)
@@ -269,7 +269,7 @@
             return False
         self._begun = True
         self._updated_at = self.clock.now()
-        self.wallet.take(allotments, self._updated_at)
+        self.balances.take(allotments, self._updated_at)
         return True
 
     def _is_former(self, holder: str) -> bool:
@@ -277,7 +277,7 @@
         return holder != self.holder and holder.rpartition(".")[0] == self.node
 
     def _log_shares(self, revision: int, asked: list[str]) -> None:
-        shares = self.wallet.seen.organisations
+        shares = self.balances.seen.organisations
         self.journal.write(
             "shares_written",
             revision=revision,
@@ -286,8 +286,8 @@
             free=sum(one.free for one in shares.values()),
             closed=sum(one.closed for one in shares.values()),
             doubt=sum(one.doubt for one in shares.values()),
-            own_spent=sum(balance.spent for balance in self.wallet.balances.values()),
-            own_ready=sum(balance.ready for balance in self.wallet.balances.values()),
+            own_spent=sum(balance.spent for balance in self.balances.balances.values()),
+            own_ready=sum(balance.ready for balance in self.balances.balances.values()),
         )
 
     def _end_former(self, allotments: Allotments) -> Allotments:
@@ -314,7 +314,7 @@
         spent = {
             name: SpendingBounds(one, one) for name, one in self.list_spent().items()
         }
-        for balance in self.wallet.balances.values():
+        for balance in self.balances.balances.values():
             balance.ceiling = balance.spent
 
         def change(body: Body | None) -> Body:
--- a/anvilshift/router/billcopyholders.py
+++ b/anvilshift/router/billcopyholders.py
@@ -30,7 +30,7 @@
     ----------
     own
         Record of this router.
-    read_roster
+    read_members
         Returns the current roster of the other routers.
     """
 
@@ -39,12 +39,12 @@
         link: PeerLink,
         clock: Clock,
         own: Member,
-        read_roster: Callable[[], MemberTable],
+        read_members: Callable[[], MemberTable],
     ) -> None:
         self._link = link
         self._clock = clock
         self._own = own
-        self._read_roster = read_roster
+        self._read_members = read_members
 
     async def keep_copies(self, holder: str, bills: Bills, witness: str = "") -> bool:
         """Store copies of bills at a few other routers; True if one accepted them.
@@ -79,9 +79,9 @@
     async def store_at_witness(self, witness: str, holder: str, bills: Bills) -> bool:
         """Store copies of bills at the holder's witness; True once it has them."""
         request = make_keep_request(holder, bills, witness)
-        for sighting in self._read_roster().member_statuses.values():
-            if sighting.member.incarnation == witness:
-                return await self._send_copies(sighting.member.peer_address, request)
+        for status in self._read_members().member_statuses.values():
+            if status.member.incarnation == witness:
+                return await self._send_copies(status.member.peer_address, request)
         return False
 
     def choose(self, current: str) -> str:
@@ -97,13 +97,13 @@
         return candidates[0]
 
     def _list_candidates(self) -> list[Member]:
-        roster, now = self._read_roster(), self._clock.now()
+        members, now = self._read_members(), self._clock.now()
         heard = [
-            sighting.member
-            for sighting in roster.member_statuses.values()
-            if sighting.heard is not None
-            and now - sighting.heard <= roster.lease
-            and not sighting.member.leaving
+            status.member
+            for status in members.member_statuses.values()
+            if status.heard is not None
+            and now - status.heard <= members.lease
+            and not status.member.leaving
         ]
         own = self._own.failure_domain
         return sorted(
--- a/anvilshift/router/budgets.py
+++ b/anvilshift/router/budgets.py
@@ -58,7 +58,7 @@
         self._spacing = spacing
         self._budgets: dict[str, Budget] = {}
         self._shards = 0
-        self._branches: dict[str, LedgerClient] = {}
+        self._ledger_clients: dict[str, LedgerClient] = {}
         self._unknown_since: dict[str, Millis] = {}
 
     @property
@@ -82,12 +82,14 @@
     @property
     def platform_unavailable(self) -> bool:
         """Tell whether the commits of any ledger object keep failing."""
-        return any(branch.platform_unavailable for branch in self._branches.values())
+        return any(
+            client.platform_unavailable for client in self._ledger_clients.values()
+        )
 
     @property
-    def branches(self) -> Collection[LedgerClient]:
+    def ledger_clients(self) -> Collection[LedgerClient]:
         """Return the branches, one for each ledger object in use."""
-        return self._branches.values()
+        return self._ledger_clients.values()
 
     def start(self) -> None:
         """Do nothing: each branch starts to commit when its ledger is first used."""
@@ -95,26 +97,26 @@
     def configure(self, budgets: dict[str, Budget]) -> None:
         """Apply the declared budgets to the accounts that are open here."""
         self._budgets = budgets
-        for branch in self.branches:
-            for account in branch.escrow.grant_states:
+        for client in self.ledger_clients:
+            for account in client.holder_accounts.grant_states:
                 if account in budgets:
-                    self._open_account(branch, account)
+                    self._open_account(client, account)
 
-    def _open_account(self, branch: LedgerClient, account: str) -> None:
+    def _open_account(self, client: LedgerClient, account: str) -> None:
         budget = self._budgets.get(account) or Budget(account)
-        branch.escrow.open(account, budget.allowance, budget.grant)
+        client.holder_accounts.open(account, budget.allowance, budget.grant)
 
-    async def _find_branch(self, account: str) -> LedgerClient:
+    async def _find_ledger_client(self, account: str) -> LedgerClient:
         if not self._shards:
             self._shards = await read_shards(self._store)
-        branch = self._make_branch(ledger_name(account, self._shards))
-        if account not in branch.escrow.grant_states:
-            self._open_account(branch, account)
-        return branch
-
-    def _make_branch(self, name: str) -> LedgerClient:
-        if name not in self._branches:
-            branch = LedgerClient(
+        client = self._make_ledger_client(ledger_name(account, self._shards))
+        if account not in client.holder_accounts.grant_states:
+            self._open_account(client, account)
+        return client
+
+    def _make_ledger_client(self, name: str) -> LedgerClient:
+        if name not in self._ledger_clients:
+            client = LedgerClient(
                 self._store,
                 name,
                 self._clock,
@@ -122,9 +124,9 @@
                 self._spacing,
                 self.hooks,
             )
-            branch.start()
-            self._branches[name] = branch
-        return self._branches[name]
+            client.start()
+            self._ledger_clients[name] = client
+        return self._ledger_clients[name]
 
     async def reserve(self, account: str, key: str, tokens: int) -> None:
         """Reserve tokens for a request.
@@ -137,16 +139,16 @@
             this router has stopped spending the budget.
         """
         try:
-            branch = await self._find_branch(account)
+            client = await self._find_ledger_client(account)
         except AnvilshiftError as error:
             detail = "the layout of the ledger objects can't be read now"
             raise AnvilshiftError(BUDGET_UNREACHABLE, detail, 2 * SECOND) from error
-        await branch.reserve(account, key, tokens)
+        await client.reserve(account, key, tokens)
 
     def release(self, account: str, key: str) -> None:
         """Cancel the reservation of a request that costs nothing."""
-        for branch in self.branches:
-            branch.release(account, key)
+        for client in self.ledger_clients:
+            client.release(account, key)
 
     async def settle(
         self,
@@ -168,36 +170,36 @@
         AnvilshiftError
             Code 4005 when the bill isn't recorded by then.
         """
-        branch = await self._find_branch(account)
+        client = await self._find_ledger_client(account)
         bill = Bill(key, organisation, tokens, "", self._clock.wall())
-        await branch.settle(account, bill, until)
+        await client.settle(account, bill, until)
 
-    async def _all_branches(self) -> list[LedgerClient]:
+    async def _all_ledger_clients(self) -> list[LedgerClient]:
         if not self._shards:
             self._shards = await read_shards(self._store)
-        return [self._make_branch(name) for name in list_names(self._shards)]
+        return [self._make_ledger_client(name) for name in list_names(self._shards)]
 
     async def submit_late_bills(self, holder: str, bills: Bills) -> None:
         """Record bills whose answers a sealed holder completed within its allowance.
 
         Each bill goes to the ledger object that has its account.
         """
-        for branch in await self._all_branches():
-            selected = self._select_bills(bills, branch)
+        for client in await self._all_ledger_clients():
+            selected = self._select_bills(bills, client)
             if selected:
-                await branch.sealing.submit_late_bills(holder, selected)
+                await client.sealing.submit_late_bills(holder, selected)
 
-    def _select_bills(self, bills: Bills, branch: LedgerClient) -> Bills:
+    def _select_bills(self, bills: Bills, client: LedgerClient) -> Bills:
         return tuple(
             (account, bill)
             for account, bill in bills
-            if ledger_name(account, self._shards) == branch.name
+            if ledger_name(account, self._shards) == client.name
         )
 
     async def seal(self, incarnation: str) -> None:
         """Seal all holders of a lost router, so that it can't commit any more."""
-        for branch in await self._all_branches():
-            await branch.sealing.seal(incarnation)
+        for client in await self._all_ledger_clients():
+            await client.sealing.seal(incarnation)
 
     async def sweep(self, incarnations: Collection[str]) -> None:
         """Seal holders of unknown routers and resolve tokens in doubt.
@@ -215,12 +217,12 @@
         known = {*incarnations, self._incarnation}
         unknown: set[str] = set()
         holders: set[str] = set()
-        for branch in await self._all_branches():
-            found = await self._store.get(LEDGER_KIND, branch.name)
+        for client in await self._all_ledger_clients():
+            found = await self._store.get(LEDGER_KIND, client.name)
             ledger = read_body(found.body if found else None)
             self.copies.drop_recorded(ledger)
             holders |= set(ledger.holders)
-            await self._resolve_sealed_holders(branch, ledger)
+            await self._resolve_sealed_holders(client, ledger)
             unknown |= {
                 holder
                 for holder in ledger.list_open()
@@ -230,21 +232,21 @@
         await self._seal_orphans(unknown)
 
     async def _resolve_sealed_holders(
-        self, branch: LedgerClient, ledger: Ledger
+        self, client: LedgerClient, ledger: Ledger
     ) -> None:
         expired_before = self._clock.wall() - HOLDER_LIFETIME_S
         for holder in ledger.list_sealed(before=self._clock.wall() + 1):
             witnesses = ledger.list_witnesses(holder)
             if self._incarnation in witnesses:
-                bills = self._select_bills(self.copies.close(holder), branch)
-                await branch.sealing.submit_late_bills(
+                bills = self._select_bills(self.copies.close(holder), client)
+                await client.sealing.submit_late_bills(
                     holder, bills, closer=self._incarnation
                 )
-            elif self._select_bills(self.copies.list(holder), branch):
-                bills = self._select_bills(self.copies.list(holder), branch)
-                await branch.sealing.submit_late_bills(holder, bills)
+            elif self._select_bills(self.copies.list(holder), client):
+                bills = self._select_bills(self.copies.list(holder), client)
+                await client.sealing.submit_late_bills(holder, bills)
             elif holder in ledger.list_sealed(before=expired_before):
-                await branch.sealing.write_off(holder)
+                await client.sealing.write_off(holder)
 
     async def _seal_orphans(self, unknown: set[str]) -> None:
         now = self._clock.now()
@@ -259,18 +261,18 @@
     async def give_back(self, account: str | None = None) -> bool:
         """Return unreserved tokens to the ledger; False if that wasn't recorded."""
         results = [
-            await branch.give_back(account)
-            for branch in self.branches
-            if account is None or account in branch.escrow.grant_states
+            await client.give_back(account)
+            for client in self.ledger_clients
+            if account is None or account in client.holder_accounts.grant_states
         ]
         return all(results)
 
     async def settle_all(self) -> bool:
         """Record every bill and return unreserved tokens; False when that failed."""
         await self.give_back()
-        return all(branch.has_no_pending_changes() for branch in self.branches)
+        return all(client.has_no_pending_changes() for client in self.ledger_clients)
 
     async def close(self) -> None:
         """Record all bills, return the grants to the ledger and stop."""
-        for branch in self.branches:
-            await branch.close()
+        for client in self.ledger_clients:
+            await client.close()
--- a/anvilshift/router/callers.py
+++ b/anvilshift/router/callers.py
@@ -49,7 +49,7 @@
     def __init__(
         self,
         shared: Shared,
-        gate: AccessControl,
+        access_control: AccessControl,
         claims: ClaimStore,
         ready: Callable[[], bool],
         addresses: Callable[[], dict[str, object]],
@@ -60,7 +60,7 @@
         self.calls = 0
         self._open: dict[asyncio.Task[None] | None, Job] = {}
         self._shared = shared
-        self._gate = gate
+        self._access_control = access_control
         self._ready = ready
         self._addresses = addresses
 
@@ -73,7 +73,7 @@
         """Answer one request."""
         if not self._ready():
             raise AnvilshiftError(NOT_READY, "", _RETRY_ELSEWHERE)
-        organisation = self._gate.authenticate(request)
+        organisation = self._access_control.authenticate(request)
         if request.path == ADDRESSES_PATH and request.method == "GET":
             body = dump_json(self._addresses())
             await responder.send(Reply(200, [JSON_TYPE], body))
@@ -111,13 +111,13 @@
         self, request: HttpRequest, organisation: Organisation, responder: Responder
     ) -> None:
         now = self._shared.clock.now()
-        routes = dict(self._gate.catalogue.routes)
+        routes = dict(self._access_control.catalogue.routes)
         job = read_chat(request, organisation, routes, now)
         self._admit(job)
         if job.non_idempotent:
             await self._chat_once(job, responder)
             return
-        run = self.runs.join(job, self._gate.make_work(job))
+        run = self.runs.join(job, self._access_control.make_work(job))
         if job.stream:
             await write_stream(run, job, responder)
         else:
@@ -143,20 +143,22 @@
             outcome.cancel()
 
     async def _run_model(self, job: Job) -> Answer:
-        return await read_whole(self.runs.join(job, self._gate.make_work(job)))
+        return await read_whole(
+            self.runs.join(job, self._access_control.make_work(job))
+        )
 
     async def _service(
         self, request: HttpRequest, organisation: Organisation, responder: Responder
     ) -> None:
         name, _, rest = request.target.removeprefix(SERVICES_PATH).partition("/")
-        route = self._gate.find_route(name)
+        route = self._access_control.find_route(name)
         if route is None or route.kind is not TargetKind.SERVICE:
             raise AnvilshiftError(UNKNOWN_ROUTE, "no such service")
         now = self._shared.clock.now()
         job = read_service_call(request, organisation, route, rest, now)
         self._admit(job)
         call = ServiceCall(self._shared, job, request, f"/{rest}")
-        work = self._gate.make_work(job)
+        work = self._access_control.make_work(job)
         if job.non_idempotent:
             answer = await self.claimed.run(job, lambda: call.run(work))
         else:
--- a/anvilshift/router/fleet.py
+++ b/anvilshift/router/fleet.py
@@ -38,8 +38,8 @@
 from anvilshift.router.messages import (
     make_heartbeat,
     read_bills,
+    read_heartbeat_status,
     read_member,
-    read_vitals,
 )
 from anvilshift.router.relayed import RelayedStore, call_store
 
@@ -80,14 +80,14 @@
         link: PeerLink,
         clock: Clock,
         member: Member,
-        treasury: RouterBudgets,
+        budgets: RouterBudgets,
         lease: Millis,
         heartbeat: Millis,
         in_flight: Callable[[], int],
         direct: ObjectStore | None = None,
     ) -> None:
         self.member = member
-        self.roster = MemberTable(lease)
+        self.members = MemberTable(lease)
         self.lease = Lease(lease)
         self.required_revision = 0
         """Revision that must be in force here before this router takes new work."""
@@ -98,7 +98,7 @@
         self.list_crash_reports: Callable[[], Iterable[Crash]] = tuple
         self.greet: Callable[[str], None] = _ignore_incarnation
         self.receive_crash_reports: Callable[[Iterable[Crash]], None] = lambda _: None
-        self.on_roster_changed: Callable[[], None] = lambda: None
+        self.on_members_changed: Callable[[], None] = lambda: None
         self.on_heartbeat: Callable[[], None] = lambda: None
         self.relocate: Callable[[RelocateRequest], RelocateReply]
         self.issue_permit: Callable[[PermitRequest], Awaitable[PermitReply]]
@@ -108,7 +108,7 @@
         self._direct = direct or store
         self._link = link
         self._clock = clock
-        self._treasury = treasury
+        self._budgets = budgets
         self._heartbeat = heartbeat
         self._in_flight = in_flight
         self._sealed: set[str] = set()
@@ -116,11 +116,11 @@
         self._declarations_listed = asyncio.Event()
         self._renewal_requested = asyncio.Event()
         self.tasks: list[asyncio.Task[None]] = []
-        self.witnesses = BillCopyHolders(link, clock, member, lambda: self.roster)
-        treasury.keep_copies = self.witnesses.keep_copies
-        treasury.ask_peers = self.ask_peers
-        treasury.hooks.store_at_witness = self.witnesses.store_at_witness
-        treasury.hooks.choose_witness = self.witnesses.choose
+        self.bill_copies = BillCopyHolders(link, clock, member, lambda: self.members)
+        budgets.keep_copies = self.bill_copies.keep_copies
+        budgets.ask_peers = self.ask_peers
+        budgets.hooks.store_at_witness = self.bill_copies.store_at_witness
+        budgets.hooks.choose_witness = self.bill_copies.choose
 
     def start(self) -> None:
         """Start to send heartbeats and to renew the record."""
@@ -137,25 +137,25 @@
         record was created again.
         """
         seen, now = self.read_received_revision(), self._clock.now()
-        leased = self.lease.may_serve(self.roster, seen, now)
+        leased = self.lease.may_serve(self.members, seen, now)
         return leased and self.read_revision() >= self.required_revision
 
     def is_partitioned(self) -> bool:
         """Tell whether some router of the fleet has not been heard recently."""
         span, now = _PARTITIONED_AFTER * self._heartbeat, self._clock.now()
-        member_statuses = self.roster.member_statuses.values()
+        member_statuses = self.members.member_statuses.values()
         return any(
-            sighting.heard is None or now - sighting.heard > span
-            for sighting in member_statuses
+            status.heard is None or now - status.heard > span
+            for status in member_statuses
         )
 
     def find_common_revision(self) -> int:
         """Return the newest revision that all known routers have in force."""
-        member_statuses = self.roster.member_statuses.values()
+        member_statuses = self.members.member_statuses.values()
         return min(
             [
                 self.member.revision,
-                *(sighting.member.revision for sighting in member_statuses),
+                *(status.member.revision for status in member_statuses),
             ]
         )
 
@@ -173,8 +173,8 @@
         if name == self.member.name:
             return
         if body is None:
-            self.roster = self.roster.remove(name)
-            self.on_roster_changed()
+            self.members = self.members.remove(name)
+            self.on_members_changed()
             return
         try:
             member = decode(Member, body)
@@ -182,8 +182,8 @@
             # One unreadable record must not stop the watch of all other records.
             logging.error("router record unreadable name=%s %s", name, error)
             return
-        self.roster = self.roster.record(member, self._clock.now())
-        self.on_roster_changed()
+        self.members = self.members.record(member, self._clock.now())
+        self.on_members_changed()
         self.greet(member.incarnation)
 
     async def leave(self) -> None:
@@ -209,7 +209,7 @@
         # A router joins the fleet only when it has listed the declarations, because
         # until then it would only delay the acceptance of new ones.
         await self._declarations_listed.wait()
-        pause = self.roster.lease / _RENEWALS_PER_LEASE
+        pause = self.members.lease / _RENEWALS_PER_LEASE
         min_interval = min(_MIN_WRITE_INTERVAL, pause)
         while True:
             self._renewal_requested.clear()
@@ -253,12 +253,12 @@
 
     async def _remove_lost(self) -> None:
         now = self._clock.now()
-        lost = self.roster.lost(now)
+        lost = self.members.lost(now)
         self._sealed &= {member.incarnation for member in lost}
         if not self.lease.holds(now):
             return
         with contextlib.suppress(AnvilshiftError):
-            await self._treasury.sweep(self._list_incarnations())
+            await self._budgets.sweep(self._list_incarnations())
         for member in lost:
             try:
                 await self._seal(member)
@@ -270,14 +270,14 @@
     def _may_remove(self, member: Member) -> bool:
         now = self._clock.now()
         renewing_for = self.lease.renewing_for(now)
-        return self.roster.may_remove(member, self.member, renewing_for, now)
+        return self.members.may_remove(member, self.member, renewing_for, now)
 
     async def _seal(self, member: Member) -> None:
         if member.incarnation in self._sealed:
             return
         logging.warning("sealing lost router=%s", member.name)
-        await self._treasury.seal(member.incarnation)
-        await self._treasury.sweep(self._list_incarnations())
+        await self._budgets.seal(member.incarnation)
+        await self._budgets.sweep(self._list_incarnations())
         self._sealed.add(member.incarnation)
 
     async def _remove(self, member: Member) -> None:
@@ -288,12 +288,12 @@
                 return
             with contextlib.suppress(ConflictError):
                 await self._store.delete(ROUTER_KIND, found.name, found.version)
-        self.roster = self.roster.remove(member.name)
+        self.members = self.members.remove(member.name)
 
     def _list_incarnations(self) -> set[str]:
         return {
-            sighting.member.incarnation
-            for sighting in self.roster.member_statuses.values()
+            status.member.incarnation
+            for status in self.members.member_statuses.values()
         }
 
     def _make_heartbeat(self) -> Heartbeat:
@@ -318,18 +318,18 @@
 
     def list_relays(self) -> list[str]:
         """Return the peer addresses of routers that can relay calls to the platform."""
-        present = self.roster.present(self._clock.now())
+        present = self.members.present(self._clock.now())
         return [
-            sighting.member.peer_address
-            for sighting in present
-            if sighting.heartbeat_status.reaches_platform and sighting.heard is not None
+            status.member.peer_address
+            for status in present
+            if status.heartbeat_status.reaches_platform and status.heard is not None
         ]
 
     def _apply_heartbeat(self, beat: Heartbeat) -> None:
-        self.roster = self.roster.hear(
-            read_member(beat), read_vitals(beat), self._clock.now()
+        self.members = self.members.hear(
+            read_member(beat), read_heartbeat_status(beat), self._clock.now()
         )
-        self.on_roster_changed()
+        self.on_members_changed()
         self.receive_leaving_targets(beat.router, beat.leaving_targets)
         self.greet(beat.incarnation)
         self.receive_crash_reports(beat.crashes)
@@ -363,14 +363,14 @@
 
     def _list_addresses(self) -> list[str]:
         return [
-            sighting.member.peer_address
-            for sighting in self.roster.member_statuses.values()
+            status.member.peer_address
+            for status in self.members.member_statuses.values()
         ]
 
     def _list_present_addresses(self) -> list[str]:
         # Lost routers are left out, because each call to one waits for the timeout.
-        present = self.roster.present(self._clock.now())
-        return [sighting.member.peer_address for sighting in present]
+        present = self.members.present(self._clock.now())
+        return [status.member.peer_address for status in present]
 
     async def _exchange_heartbeat(self, address: str) -> None:
         with contextlib.suppress(PeerError):
@@ -398,12 +398,12 @@
     async def handle_keep(self, request: KeepRequest) -> KeepReply:
         """Store copies of another router's bills, and tell whether they were kept."""
         bills = read_bills(request, self._clock.wall())
-        kept = self._treasury.copies.add(request.holder, bills, request.witness)
+        kept = self._budgets.copies.add(request.holder, bills, request.witness)
         return KeepReply(kept=kept)
 
     async def handle_give_back(self, request: GiveBackRequest) -> GiveBackReply:
         """Return unused tokens of a budget to the ledger."""
-        await self._treasury.give_back(request.account)
+        await self._budgets.give_back(request.account)
         return GiveBackReply()
 
     async def handle_permit(self, request: PermitRequest) -> PermitReply:
--- a/anvilshift/router/ledgerclient.py
+++ b/anvilshift/router/ledgerclient.py
@@ -70,7 +70,7 @@
         hooks: Hooks,
     ) -> None:
         self.name = name
-        self.escrow = HolderAccounts(incarnation)
+        self.holder_accounts = HolderAccounts(incarnation)
         self.last_ledger = Ledger()
         self._clock = clock
         self._incarnation = incarnation
@@ -123,7 +123,7 @@
         finally:
             # If a refused request stayed in the list, commits would go on drawing
             # tokens for it that requests at other routers need.
-            self.escrow.grant_states[account].waiting.pop(key, None)
+            self.holder_accounts.grant_states[account].waiting.pop(key, None)
 
     async def _reserve(self, account: str, key: str, tokens: int) -> None:
         for attempt in range(_MAX_REFILLS + 1):
@@ -133,7 +133,7 @@
             if self.platform_unavailable or attempt == _MAX_REFILLS:
                 break
             # The first commit reads how many tokens other routers hold.
-            if attempt and not self.escrow.grant_states[account].elsewhere:
+            if attempt and not self.holder_accounts.grant_states[account].elsewhere:
                 break
             if attempt:
                 await self._ask_peers(account)
@@ -142,11 +142,11 @@
 
     def _try_reserve(self, account: str, key: str, tokens: int) -> bool:
         now = self._clock.now()
-        if self.escrow.grant_states[account].frozen:
+        if self.holder_accounts.grant_states[account].frozen:
             raise AnvilshiftError(BUDGET_FROZEN)
-        if not self.escrow.reserve(account, key, tokens, now):
+        if not self.holder_accounts.reserve(account, key, tokens, now):
             return False
-        if self.escrow.wants_commit(now):
+        if self.holder_accounts.wants_commit(now):
             self._commit_requested.set()
         return True
 
@@ -160,13 +160,13 @@
         await asyncio.wait([self._peer_requests[account]])
 
     def _raise_cached_refusal(self, account: str, tokens: int) -> None:
-        grant_state = self.escrow.grant_states[account]
+        grant_state = self.holder_accounts.grant_states[account]
         code = grant_state.recall_refusal(tokens, self._clock.now())
         if code is not None:
             raise make_refusal(code)
 
     def _refuse(self, account: str, key: str, tokens: int) -> None:
-        grant_state = self.escrow.grant_states[account]
+        grant_state = self.holder_accounts.grant_states[account]
         if self.platform_unavailable or self._failing_since is not None:
             detail = "the platform is unavailable and this router's grant is spent"
             raise AnvilshiftError(BUDGET_UNREACHABLE, detail, 2 * SECOND)
@@ -174,8 +174,8 @@
 
     def release(self, account: str, key: str) -> None:
         """Cancel the reservation of a request that is not billed."""
-        if account in self.escrow.grant_states:
-            self.escrow.release(account, key)
+        if account in self.holder_accounts.grant_states:
+            self.holder_accounts.release(account, key)
 
     async def settle(self, account: str, bill: Bill, until: Millis | None) -> None:
         """Bill a request and wait until the end of its answer may be sent.
@@ -183,9 +183,11 @@
         That is when the bill is committed, or when it is released early within
         the allowance because commits are late or failing.
         """
-        if bill.key not in self.escrow.grant_states[account].reserved:
+        if bill.key not in self.holder_accounts.grant_states[account].reserved:
             await self._reserve_after_run(account, bill)
-        self.escrow.bill(account, replace(bill, holder=self.escrow.holder))
+        self.holder_accounts.bill(
+            account, replace(bill, holder=self.holder_accounts.holder)
+        )
         outcome = self._outcomes.expect(account, bill.key)
         self._commit_requested.set()
         until = None if until is None else until - _ERROR_MARGIN
@@ -218,24 +220,26 @@
         return False
 
     async def _release_early(self, account: str, key: str) -> bool:
-        escrow = self.escrow
-        bill = escrow.grant_states[account].pending.get(key)
+        holder_accounts = self.holder_accounts
+        bill = holder_accounts.grant_states[account].pending.get(key)
         # A bill that isn't pending here is being submitted for a sealed holder;
         # the answer can only end when it is recorded.
-        if bill is None or not escrow.release_early(account, key):
+        if bill is None or not holder_accounts.release_early(account, key):
             return False
-        witness = escrow.grant_states[account].grant.witness
+        witness = holder_accounts.grant_states[account].grant.witness
         copies = ((account, bill),)
         # Copies at other routers can't close the amount in doubt; they serve to
         # record the bill if holder and witness are lost together.
-        peer_copies = self._hooks.keep_copies(escrow.holder, copies, witness)
+        peer_copies = self._hooks.keep_copies(holder_accounts.holder, copies, witness)
         if not witness:
             await peer_copies
             return True
         # The witness must have its copy before the answer ends: otherwise, when the
         # witness closes the amount in doubt of a lost holder, tokens that this
         # answer has spent would return to the budget.
-        witness_copy = self._hooks.store_at_witness(witness, escrow.holder, copies)
+        witness_copy = self._hooks.store_at_witness(
+            witness, holder_accounts.holder, copies
+        )
         kept, _ = await asyncio.gather(witness_copy, peer_copies)
         return kept
 
@@ -268,7 +272,9 @@
             # this router would then wait for its bill for ever.
             try:
                 self._choose_witness()
-                await self._commit(lambda: self.escrow.begin_commit(self._clock.now()))
+                await self._commit(
+                    lambda: self.holder_accounts.begin_commit(self._clock.now())
+                )
             except Exception:
                 logging.exception("commit broke ledger=%s", self.name)
                 self._hooks.count_event("commit_broke")
@@ -281,11 +287,11 @@
         # The witness is kept while commits fail: the change could not be recorded,
         # and until it is recorded no answer may be released early.
         if self._failing_since is None:
-            chosen = self._hooks.choose_witness(self.escrow.witness)
-            self.escrow.choose_witness(chosen)
+            chosen = self._hooks.choose_witness(self.holder_accounts.witness)
+            self.holder_accounts.choose_witness(chosen)
 
     def _has_work(self) -> bool:
-        wanted = self.escrow.wants_commit(self._clock.now())
+        wanted = self.holder_accounts.wants_commit(self._clock.now())
         # After a failure, commits are retried until one succeeds: nothing else
         # detects that the platform is available again.
         failing = self._failing_since is not None
@@ -323,7 +329,7 @@
             return False
         self._consecutive_failures, self._failing_since = 0, None
         if outcome.sealed:
-            self.escrow.drop_decided_bills(outcome.bills)
+            self.holder_accounts.drop_decided_bills(outcome.bills)
             self._outcomes.resolve(outcome.bills)
             self._replace_holder()
             return False
@@ -338,9 +344,9 @@
         self._commit_requested.set()
 
     def _apply_outcome(self, commit: Commit, outcome: Outcome) -> None:
-        before = self.escrow.list_frozen()
-        states = self.escrow.finish_commit(commit, outcome, self._clock.now())
-        for account in self.escrow.list_frozen() - before:
+        before = self.holder_accounts.list_frozen()
+        states = self.holder_accounts.finish_commit(commit, outcome, self._clock.now())
+        for account in self.holder_accounts.list_frozen() - before:
             logging.error("budget frozen account=%s", account)
             self._hooks.count_event("budget_frozen")
         self._outcomes.resolve(states)
@@ -352,11 +358,11 @@
         that it released early are in doubt in the sealed holder and are submitted
         for it; all other reservations and bills move to the new holder.
         """
-        sealed = self.escrow
+        sealed = self.holder_accounts
         logging.warning("holder sealed holder=%s", sealed.holder)
         self._hooks.count_event("holder_sealed")
         self._generation += 1
-        self.escrow = sealed.succeed(f"{self._incarnation}.{self._generation}")
+        self.holder_accounts = sealed.succeed(f"{self._incarnation}.{self._generation}")
         self._spawn(self._submit_released(sealed))
         self._commit_requested.set()
 
@@ -371,7 +377,7 @@
                 logging.warning("bill submission failed code=%d", error.code.number)
                 await asyncio.sleep(self._spacing / SECOND)
                 continue
-            self.escrow.adopt(states, released)
+            self.holder_accounts.adopt(states, released)
             self._commit_requested.set()
             self._outcomes.resolve(
                 {k: s for k, s in states.items() if s is not BillState.REFUSED}
@@ -380,7 +386,7 @@
 
     async def give_back(self, account: str | None) -> bool:
         """Return unreserved tokens to the budget; False if that wasn't recorded."""
-        grant_states = self.escrow.grant_states
+        grant_states = self.holder_accounts.grant_states
         names = [name for name in grant_states if account in (None, name)]
         for name in names:
             grant_states[name].give(self._clock.now())
@@ -390,7 +396,7 @@
 
     def has_no_pending_changes(self) -> bool:
         """Tell whether every bill and every return of tokens is recorded."""
-        grant_states = self.escrow.grant_states.values()
+        grant_states = self.holder_accounts.grant_states.values()
         open_states = [s for s in grant_states if s.pending or s.giving]
         return self._failing_since is None and not open_states
 
@@ -403,9 +409,9 @@
         if not self._commits_begun:
             return
         generation = self._generation
-        await self._commit(self.escrow.close)
+        await self._commit(self.holder_accounts.close)
         # If the holder was found sealed, commit what the new one has taken over.
         if self._generation > generation:
-            await self._commit(self.escrow.close)
+            await self._commit(self.holder_accounts.close)
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=_CLOSE_TIMEOUT / SECOND)
--- a/anvilshift/router/node.py
+++ b/anvilshift/router/node.py
@@ -58,25 +58,25 @@
             direct, world.link, world.clock, lambda: self.fleet.list_relays()
         )
         self.incarnation = f"{settings.name}-{make_identity(world.rng)[:12]}"
-        self.treasury = RouterBudgets(
+        self.budgets = RouterBudgets(
             self.store, world.clock, self.incarnation, settings.commit_spacing
         )
-        self.treasury.hooks.count_event = world.telemetry.count_event
+        self.budgets.hooks.count_event = world.telemetry.count_event
         figures = DispatchSettings(
             settings.failure_domain, settings.queue_length, settings.attempts, asks=True
         )
         self.dispatcher = Dispatcher(figures, world.rng)
         self.dispatch = DispatchLoop(self.dispatcher, world.clock)
         self.targets = Targets(world.connector, world.clock)
-        self.departing = LeavingTargets(self._tell_dispatcher, world.clock)
-        self.gate = AccessControl()
+        self.leaving_targets = LeavingTargets(self._tell_dispatcher, world.clock)
+        self.access_control = AccessControl()
         self.callers = self._make_caller_port()
         self.fleet = Fleet(
             self.store,
             world.link,
             world.clock,
             self._make_member(),
-            self.treasury,
+            self.budgets,
             settings.lease,
             settings.heartbeat,
             lambda: self.callers.in_flight,
@@ -94,7 +94,7 @@
         self.quarantined = QuarantineRecords(self.store, world.clock)
         sources = PermitSources(
             self.fleet.member,
-            lambda: self.fleet.roster,
+            lambda: self.fleet.members,
             world.link,
             self.dispatch,
             world.telemetry,
@@ -103,17 +103,17 @@
         )
         self.permits = Permits(sources)
         self.fleet.issue_permit = self.permits.handle_permit
-        self.relocating = RelocationProtocol(
+        self.relocation_protocol = RelocationProtocol(
             self.dispatch,
             self.dispatcher,
             world.link,
             world.clock,
-            lambda: self.fleet.roster,
+            lambda: self.fleet.members,
         )
-        self.fleet.relocate = self.relocating.take
-        self.dispatch.relocate = self.relocating.ask
+        self.fleet.relocate = self.relocation_protocol.take
+        self.dispatch.relocate = self.relocation_protocol.ask
         self.dispatch.announce = self._announce
-        self.dispatcher.renew = self.gate.renew
+        self.dispatcher.renew = self.access_control.renew
         self.crashes.take_other = self._take_other_crash
         self.fleet.list_crash_reports = self.crashes.list_reports_to_send
         self.fleet.receive_crash_reports = self.crashes.hear
@@ -122,11 +122,11 @@
             self.clock.now()
         )
         self.fleet.on_heartbeat = self._count_routers
-        self.fleet.on_roster_changed = lambda: self.dispatcher.set_has_others(
-            bool(self.fleet.roster.member_statuses)
+        self.fleet.on_members_changed = lambda: self.dispatcher.set_has_others(
+            bool(self.fleet.members.member_statuses)
         )
-        self.fleet.list_leaving_targets = lambda: self.departing.told
-        self.fleet.receive_leaving_targets = self.departing.hear
+        self.fleet.list_leaving_targets = lambda: self.leaving_targets.told
+        self.fleet.receive_leaving_targets = self.leaving_targets.hear
         self.fleet.read_revision = lambda: self.follower.acknowledged
         self.fleet.read_received_revision = lambda: self.follower.seen
         self.settled = False
@@ -140,7 +140,7 @@
         shared = Shared(
             self.incarnation,
             world.clock,
-            self.treasury,
+            self.budgets,
             self.dispatch,
             self.targets,
             world.telemetry,
@@ -149,12 +149,12 @@
             self.store, world.clock, self.incarnation, world.rng, self._lives
         )
         return CallerPort(
-            shared, self.gate, self.claims, self.is_ready, self.list_addresses
+            shared, self.access_control, self.claims, self.is_ready, self.list_addresses
         )
 
     def _lives(self, incarnation: str) -> bool:
         """Tell whether an incarnation is known to live."""
-        present = self.fleet.roster.present(self.clock.now())
+        present = self.fleet.members.present(self.clock.now())
         return any(s.member.incarnation == incarnation for s in present)
 
     def _make_member(self) -> Member:
@@ -216,9 +216,9 @@
             self.quarantined.add(news.content, targets)
 
     def _configure(self, catalogue: Catalogue) -> None:
-        self.gate.configure(catalogue)
+        self.access_control.configure(catalogue)
         self.targets.configure(catalogue)
-        self.treasury.configure(dict(catalogue.budgets))
+        self.budgets.configure(dict(catalogue.budgets))
         targets = [
             Target(engine.name, engine.failure_domain, engine.slots, group.offers)
             for group in catalogue.groups.values()
@@ -226,7 +226,7 @@
         ]
         now = self.clock.now()
         self.dispatch.act(self.dispatcher.configure(targets, now, catalogue.revision))
-        self.departing.configure(catalogue)
+        self.leaving_targets.configure(catalogue)
         self.orders.configure(catalogue)
         self.fleet.acknowledge(catalogue.revision)
         logging.info("declarations in force revision=%d", catalogue.revision)
@@ -240,7 +240,7 @@
                 s.heartbeat_status.in_flight,
                 s.member.leaving,
             )
-            for s in self.fleet.roster.present(self.clock.now())
+            for s in self.fleet.members.present(self.clock.now())
             if s.heartbeat_status.serving
         ]
         own = self.fleet.member
@@ -256,7 +256,7 @@
 
     def describe(self) -> dict[str, Any]:
         """Return this router's state for operators."""
-        member_statuses = self.fleet.roster.member_statuses.values()
+        member_statuses = self.fleet.members.member_statuses.values()
         return {
             "name": self.settings.name,
             "incarnation": self.incarnation,
@@ -269,22 +269,24 @@
             "waiting": self.dispatch.waiting,
             "peers": sorted(s.member.name for s in member_statuses),
             "owns_orders": self.orders.owns,
-            "leaving_targets": sorted(self.departing.leaving),
+            "leaving_targets": sorted(self.leaving_targets.leaving),
         }
 
     def start(self) -> None:
         """Begin every background task."""
         self.fleet.start()
-        self.treasury.start()
+        self.budgets.start()
         loop = asyncio.get_running_loop()
         polling = self.targets.poll(
             self._take_report,
             lambda event: self.dispatch.act(
                 self.dispatcher.cache_event(event, self.clock.now())
             ),
-            self.departing.count_refusal,
+            self.leaving_targets.count_refusal,
+        )
+        leaving = self.leaving_targets.follow(
+            self.store, self._name_routers, self.world.rng
         )
-        leaving = self.departing.follow(self.store, self._name_routers, self.world.rng)
         works = (
             self.follower.run(),
             polling,
@@ -322,7 +324,7 @@
         steps = StopSteps(
             self._leave,
             self._refuse,
-            self.treasury.settle_all,
+            self.budgets.settle_all,
             lambda: self.callers.in_flight,
             self.callers.list_open,
         )
@@ -332,7 +334,7 @@
         cut_off = await stop.run()
         self.settled = stop.settled
         if not abandoned.is_set():
-            await self.fleet.witnesses.transfer_copies(self.treasury.copies)
+            await self.fleet.bill_copies.transfer_copies(self.budgets.copies)
         return cut_off
 
     async def _leave(self) -> None:
@@ -351,9 +353,9 @@
         self.claims.close()
         self.permits.close()
         self.dispatch.close()
-        self.relocating.close()
+        self.relocation_protocol.close()
         self.quarantined.close()
-        await self.treasury.close()
+        await self.budgets.close()
         await self.fleet.close()
         self.store.close()
 
@@ -362,12 +364,12 @@
         # A target that is back may name a limit in the same report: what waits for it
         # is sent as soon as it counts as back.
         self.dispatcher.update_rate_limit(report)
-        self.departing.apply_load_report(report)
+        self.leaving_targets.apply_load_report(report)
         self.dispatch.act(self.dispatcher.load_report(report, self.clock.now()))
 
     def _name_routers(self) -> set[str]:
-        present = self.fleet.roster.present(self.clock.now())
-        return {sighting.member.name for sighting in present}
+        present = self.fleet.members.present(self.clock.now())
+        return {status.member.name for status in present}
 
     def _take_crash(self, content: str, target: str, age: Millis) -> None:
         self.dispatcher.crashed(content, target, self.clock.now(), age)
@@ -379,13 +381,13 @@
     def _count_routers(self) -> None:
         """Tell the dispatcher with how many routers it shares the targets."""
         self.permits.note_routers()
-        self.relocating.note_routers()
+        self.relocation_protocol.note_routers()
         # One that lost its lease and its record may yet serve behind a cut.
         silent = self.fleet.is_partitioned() or self.permits.has_lost_routers()
         self.dispatcher.set_partitioned(silent)
         common = self.fleet.find_common_revision()
         self.dispatch.act(self.dispatcher.agree(common, self.clock.now()))
-        present = self.fleet.roster.present(self.clock.now())
+        present = self.fleet.members.present(self.clock.now())
         routers = 1 + sum(s.heartbeat_status.serving for s in present)
         if routers != self._routers:
             self._routers = routers
--- a/anvilshift/router/orders.py
+++ b/anvilshift/router/orders.py
@@ -97,7 +97,7 @@
         # After this instant another router may have taken over and waited until this
         # one's orders have ended.  An order that a pause of this process delays for
         # longer is not sent.
-        until = read_at + self._fleet.roster.lease
+        until = read_at + self._fleet.members.lease
         await asyncio.gather(*(self._reconcile(a, until) for a in self._assignments))
 
     async def _read(self) -> tuple[Stored | None, Ownership]:
@@ -121,14 +121,14 @@
         # An owner that released had finished its orders; the orders of a lost owner
         # may still be in flight, so its successor waits.
         wait = (
-            compute_takeover_wait(self._fleet.roster.lease) if previous.owner else 0.0
+            compute_takeover_wait(self._fleet.members.lease) if previous.owner else 0.0
         )
         self._takeover_ends = self._clock.now() + wait
         logging.info("orders taken over fencing=%d", self.ownership.fencing)
 
     def _list_present(self) -> list[Member]:
-        present = self._fleet.roster.present(self._clock.now())
-        return [sighting.member for sighting in present]
+        present = self._fleet.members.present(self._clock.now())
+        return [status.member for status in present]
 
     async def _reconcile(self, assignment: Assignment, until: Millis) -> None:
         """Read an engine's state and send an order if it isn't the desired one."""
--- a/anvilshift/router/permits.py
+++ b/anvilshift/router/permits.py
@@ -51,14 +51,14 @@
 
     Parameters
     ----------
-    read_roster
+    read_members
         Returns the other routers as this router currently sees them.
     heartbeat
         Interval between two heartbeats.
     """
 
     own: Member
-    read_roster: Callable[[], MemberTable]
+    read_members: Callable[[], MemberTable]
     link: PeerLink
     dispatch: DispatchLoop
     telemetry: Telemetry
@@ -76,7 +76,7 @@
         self._dispatcher = sources.dispatch.dispatcher
         self._attendance = RouterPresence()
         self._attendance.note({self._own_name}, (), self._clock.now())
-        self._desks: dict[str, PermitQueue] = {}
+        self._permit_queues: dict[str, PermitQueue] = {}
         self._request_tasks: dict[str, asyncio.Task[None]] = {}
         self._request_numbers = itertools.count()
         sources.dispatch.on_change = self.request_permits
@@ -86,7 +86,7 @@
     def note_routers(self) -> None:
         """Update which routers are connected; drop the desks whose issuer changed."""
         now = self._clock.now()
-        member_statuses = self._sources.read_roster().member_statuses.values()
+        member_statuses = self._sources.read_members().member_statuses.values()
         heard = {
             s.member.name
             for s in member_statuses
@@ -99,9 +99,9 @@
         present = (heard - leaving) | {self._own_name}
         if not self._attendance.note(present, leaving, now, recorded):
             return
-        for name in list(self._desks):
+        for name in list(self._permit_queues):
             if self._find_issuer(name) != before.get(name):
-                del self._desks[name]
+                del self._permit_queues[name]
 
     def has_lost_routers(self) -> bool:
         """Tell whether a router that fell silent may still run behind a partition."""
@@ -189,11 +189,11 @@
         request = self._make_request(want, run, began)
         if issuer == self._own_name:
             return await self.handle_permit(request)
-        sighting = self._sources.read_roster().member_statuses.get(issuer)
-        if sighting is None:
+        status = self._sources.read_members().member_statuses.get(issuer)
+        if status is None:
             return PermitReply(state=State.REFUSED.value)
         try:
-            address = sighting.member.peer_address
+            address = status.member.peer_address
             return await self._sources.link.permit(address, request)
         except PeerError as error:
             logging.info("no permit from issuer=%s %s", issuer, error)
@@ -227,7 +227,7 @@
         now = self._clock.now()
         for sent in request.sent:
             view.meter.add(sent.run, now - sent.age_ms)
-        desk = self._find_desk(view)
+        permit_queue = self._find_permit_queue(view)
         until = now + _LONG_POLL_TIMEOUT
         latest = now + request.patience_ms
         try:
@@ -241,14 +241,14 @@
                     latest,
                     now,
                 )
-                desk.expire(now, _BID_EXPIRY)
-                verdict = desk.ask(bid, self._find_rate(view, request), now)
+                permit_queue.expire(now, _BID_EXPIRY)
+                verdict = permit_queue.ask(bid, self._find_rate(view, request), now)
                 if verdict.state is not State.QUEUED or now >= until:
                     return self._reply(request.target, verdict.state, verdict.wait)
                 step = max(1.0, min(verdict.wait, _CHECK_INTERVAL))
                 await asyncio.sleep(step / SECOND)
         finally:
-            desk.withdraw(request.run)
+            permit_queue.withdraw(request.run)
 
     def _reply(self, target: str, state: State, wait: Millis) -> PermitReply:
         if state is State.GRANTED:
@@ -267,13 +267,13 @@
         share = self._attendance.find_part(now)
         return min(rates) * share if rates else None
 
-    def _find_desk(self, view: TargetView) -> PermitQueue:
+    def _find_permit_queue(self, view: TargetView) -> PermitQueue:
         name = view.target.name
-        desk = self._desks.get(name)
-        if desk is None or not desk.is_of(view.meter):
-            desk = PermitQueue(view.meter, self._clock.now() + TAKEOVER_DELAY)
-            self._desks[name] = desk
-        return desk
+        permit_queue = self._permit_queues.get(name)
+        if permit_queue is None or not permit_queue.is_of(view.meter):
+            permit_queue = PermitQueue(view.meter, self._clock.now() + TAKEOVER_DELAY)
+            self._permit_queues[name] = permit_queue
+        return permit_queue
 
     def close(self) -> None:
         """Cancel the requests for permits."""
--- a/anvilshift/router/relocationprotocol.py
+++ b/anvilshift/router/relocationprotocol.py
@@ -34,7 +34,7 @@
 
     Parameters
     ----------
-    read_roster
+    read_members
         Returns the current roster of the other routers.
     """
 
@@ -42,7 +42,7 @@
     dispatcher: Dispatcher
     link: PeerLink
     clock: Clock
-    read_roster: Callable[[], MemberTable]
+    read_members: Callable[[], MemberTable]
     _known_incarnations: dict[str, str] = field(default_factory=dict)
     _tasks: set[asyncio.Task[bool]] = field(default_factory=set)
 
@@ -52,16 +52,14 @@
         A router is lost when its record disappeared or names another incarnation,
         unless the router announced before that it was leaving.
         """
-        member_statuses = self.read_roster().member_statuses.values()
+        member_statuses = self.read_members().member_statuses.values()
         staying = {
-            sighting.member.name: sighting.member
-            for sighting in member_statuses
-            if not sighting.member.leaving
+            status.member.name: status.member
+            for status in member_statuses
+            if not status.member.leaving
         }
         leaving = {
-            sighting.member.name
-            for sighting in member_statuses
-            if sighting.member.leaving
+            status.member.name for status in member_statuses if status.member.leaving
         }
         for name, incarnation in self._known_incarnations.items():
             member = staying.get(name)
@@ -106,7 +104,7 @@
     def _list_incarnations(self) -> dict[str, str]:
         """Return the peer address of each router's incarnation."""
         members = [
-            sighting.member for sighting in self.read_roster().member_statuses.values()
+            status.member for status in self.read_members().member_statuses.values()
         ]
         return {member.incarnation: member.peer_address for member in members}
 
--- a/anvilshift/router/runs.py
+++ b/anvilshift/router/runs.py
@@ -44,7 +44,7 @@
 
     incarnation: str
     clock: Clock
-    treasury: RouterBudgets
+    budgets: RouterBudgets
     dispatch: DispatchLoop
     targets: Targets
     telemetry: Telemetry
@@ -158,7 +158,7 @@
                 self._predecessor = None
             self._started = True
             async with asyncio.timeout((job.deadline - shared.clock.now()) / SECOND):
-                await shared.treasury.reserve(
+                await shared.budgets.reserve(
                     job.organisation.budget, job.bill_key, job.bound
                 )
                 await self._attempt_until_complete()
@@ -179,7 +179,7 @@
     def _end(self) -> None:
         shared, job = self._shared, self.job
         if self._started:
-            shared.treasury.release(job.organisation.budget, job.bill_key)
+            shared.budgets.release(job.organisation.budget, job.bill_key)
         if self._started and self.error is not None:
             shared.dispatch.cancel(job.identity)
             self._cancel_attempt()
@@ -353,12 +353,12 @@
         )
 
     async def _settle(self) -> None:
-        job, treasury = self.job, self._shared.treasury
+        job, budgets = self.job, self._shared.budgets
         self._progress.ran = True
         self._shared.dispatch.done(job.identity, self._tokens)
         self.usage = self._limit_usage()
         began = self._shared.clock.now()
-        await treasury.settle(
+        await budgets.settle(
             job.organisation.budget,
             job.bill_key,
             job.organisation.name,
--- a/anvilshift/router/services.py
+++ b/anvilshift/router/services.py
@@ -68,15 +68,15 @@
             self._end(error)
 
     async def _run(self, work: Work) -> Answer:
-        job, treasury = self._job, self._shared.treasury
+        job, budgets = self._job, self._shared.budgets
         account = job.organisation.budget
         span = (job.deadline - self._shared.clock.now()) / SECOND
         async with asyncio.timeout(span):
             if job.bound:
-                await treasury.reserve(account, job.bill_key, job.bound)
+                await budgets.reserve(account, job.bill_key, job.bound)
             answer = await self._attempt_until_answered(work)
             if job.bound:
-                await treasury.settle(
+                await budgets.settle(
                     account,
                     job.bill_key,
                     job.organisation.name,
@@ -87,7 +87,7 @@
 
     def _end(self, error: AnvilshiftError | None) -> None:
         job, shared = self._job, self._shared
-        shared.treasury.release(job.organisation.budget, job.bill_key)
+        shared.budgets.release(job.organisation.budget, job.bill_key)
         shared.dispatch.cancel(self._turn)
         name, kind = job.organisation.name, job.route.request_class
         shared.telemetry.count_answer(name, kind, error.code if error else None)
--- a/bench/budgets.py
+++ b/bench/budgets.py
@@ -99,12 +99,12 @@
 
     def __init__(self, store: MemoryStore, name: str) -> None:
         self._store = store.view(name)
-        self._escrow = HolderAccounts(name)
+        self._holder_accounts = HolderAccounts(name)
         self._lock = asyncio.Lock()
 
     async def _commit(self) -> None:
         async with self._lock:
-            commit = self._escrow.begin_commit()
+            commit = self._holder_accounts.begin_commit()
             outcomes = []
 
             def change(ledger: Ledger) -> Ledger:
@@ -114,35 +114,35 @@
 
             body = ledgers.change_body(change)
             await update(self._store, LEDGER_KIND, LEDGER_NAME, body)
-            self._escrow.finish_commit(commit, outcomes[-1])
+            self._holder_accounts.finish_commit(commit, outcomes[-1])
 
     async def reserve(self, account: str, key: str, tokens: int) -> None:
         """Set tokens aside by a write."""
-        self._escrow.open(account, 0, 0)
-        if not self._escrow.reserve(account, key, tokens):
+        self._holder_accounts.open(account, 0, 0)
+        if not self._holder_accounts.reserve(account, key, tokens):
             await self._commit()
-        if not self._escrow.reserve(account, key, tokens):
-            code = self._escrow.grant_states[account].refuse(key, tokens, 0.0)
+        if not self._holder_accounts.reserve(account, key, tokens):
+            code = self._holder_accounts.grant_states[account].refuse(key, tokens, 0.0)
             raise AnvilshiftError(code)
 
     def release(self, account: str, key: str) -> None:
         """Give a reservation up."""
-        self._escrow.release(account, key)
+        self._holder_accounts.release(account, key)
 
     async def settle(
         self, account: str, key: str, organisation: str, tokens: int
     ) -> None:
         """Bill by a write."""
-        bill = Bill(key, organisation, tokens, self._escrow.holder)
-        self._escrow.bill(account, bill)
+        bill = Bill(key, organisation, tokens, self._holder_accounts.holder)
+        self._holder_accounts.bill(account, bill)
         await self._commit()
 
 
 class ShareTeller:
     """Spend from an own share of each budget; nobody else reaches it."""
 
-    def __init__(self, treasury: RouterBudgets, number: int) -> None:
-        self._treasury = treasury
+    def __init__(self, router_budgets: RouterBudgets, number: int) -> None:
+        self._router_budgets = router_budgets
         self._number = number
 
     def _own(self, account: str) -> str:
@@ -150,17 +150,17 @@
 
     async def reserve(self, account: str, key: str, tokens: int) -> None:
         """Set tokens aside."""
-        await self._treasury.reserve(self._own(account), key, tokens)
+        await self._router_budgets.reserve(self._own(account), key, tokens)
 
     def release(self, account: str, key: str) -> None:
         """Give a reservation up."""
-        self._treasury.release(self._own(account), key)
+        self._router_budgets.release(self._own(account), key)
 
     async def settle(
         self, account: str, key: str, organisation: str, tokens: int
     ) -> None:
         """Bill."""
-        await self._treasury.settle(self._own(account), key, organisation, tokens)
+        await self._router_budgets.settle(self._own(account), key, organisation, tokens)
 
 
 @dataclass
@@ -171,7 +171,7 @@
     load: Load
     store: MemoryStore = field(default_factory=MemoryStore)
     tellers: list[Teller] = field(default_factory=list)
-    treasuries: list[RouterBudgets] = field(default_factory=list)
+    all_router_budgets: list[RouterBudgets] = field(default_factory=list)
     left: dict[str, int] = field(default_factory=dict)
     received: dict[str, int] = field(default_factory=dict)
     served: int = 0
@@ -212,25 +212,25 @@
         if self.way == "a write a request":
             return WriteTeller(self.store, f"r{number}")
         view = self.store.view(f"r{number}")
-        treasury = RouterBudgets(view, VirtualClock(), f"r{number}-a", SPACING)
-        self.treasuries.append(treasury)
+        router_budgets = RouterBudgets(view, VirtualClock(), f"r{number}-a", SPACING)
+        self.all_router_budgets.append(router_budgets)
         names = [f"b{n}" for n in range(self.load.budgets)]
         if self.way == "fixed shares":
             names = [f"{name}/{number}" for name in names]
         grant, allowance = self.load.grant, self.load.allowance
         budgets = {n: Budget(n, allowance=allowance, grant=grant) for n in names}
-        treasury.configure(budgets)
+        router_budgets.configure(budgets)
         if self.way == "fixed shares":
-            return ShareTeller(treasury, number)
-        treasury.ask_peers = lambda account: self._ask(number, account)
+            return ShareTeller(router_budgets, number)
+        router_budgets.ask_peers = lambda account: self._ask(number, account)
         if self.way == "escrow, witnessed":
             witness = (number + 1) % ROUTERS
-            treasury.hooks.choose_witness = lambda _: f"r{witness}-a"
-            treasury.hooks.store_at_witness = self._keep_witnessed
-        return treasury
+            router_budgets.hooks.choose_witness = lambda _: f"r{witness}-a"
+            router_budgets.hooks.store_at_witness = self._keep_witnessed
+        return router_budgets
 
     async def _ask(self, number: int, account: str) -> None:
-        others = [t for n, t in enumerate(self.treasuries) if n != number]
+        others = [t for n, t in enumerate(self.all_router_budgets) if n != number]
         await asyncio.sleep(0.002)
         await asyncio.gather(*(t.give_back(account) for t in others))
 
@@ -238,7 +238,9 @@
         await asyncio.sleep(0.002)
         number = int(witness[1 : witness.index("-")])
         alive = number not in self.dead
-        return alive and self.treasuries[number].copies.add(holder, bills, witness)
+        return alive and self.all_router_budgets[number].copies.add(
+            holder, bills, witness
+        )
 
     async def serve(self, request: Request) -> None:
         """Serve a request and judge what becomes of it."""
@@ -312,10 +314,10 @@
     held = sum(a.grant("r0-a").held for a in before.accounts.values())
     for task in work:
         task.cancel()
-    await fleet.treasuries[1].seal("r0-a")
+    await fleet.all_router_budgets[1].seal("r0-a")
     sealed = sum(a.doubt for a in fleet.ledger.accounts.values())
-    for treasury in fleet.treasuries[1:]:
-        await treasury.sweep([f"r{n}-a" for n in range(ROUTERS)])
+    for router_budgets in fleet.all_router_budgets[1:]:
+        await router_budgets.sweep([f"r{n}-a" for n in range(ROUTERS)])
     left = sum(a.doubt for a in fleet.ledger.accounts.values())
     return (
         f"{load.name:11} {way:18} allowance {load.allowance}: the dead held {held}, "
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -69,7 +69,7 @@
     Series("heartbeats of all", "us", ROUTERS, slopes.hear_everyone, 2_200),
     Series("heartbeat, both ends", "us", (1,), slopes.exchange_beat, 1),
     Series("heartbeat, both ways", "B", (1,), slopes.weigh_beat, 1),
-    Series("roster memory", "B", ROUTERS, slopes.weigh_roster, 2_200),
+    Series("roster memory", "B", ROUTERS, slopes.weigh_members, 2_200),
     Series("commit by accounts", "us", BUDGETS, ledgers.commit_by_accounts, 53_000),
     Series("commit by bills", "us", BILLS, ledgers.commit_by_bills, 36_000),
     Series(
@@ -78,7 +78,7 @@
     Series("account by holders", "B", HOLDERS, ledgers.weigh_by_holders, 2_200),
     Series("account by bills", "B", BILLS, ledgers.weigh_by_bills, 36_000),
     Series("gather a commit", "us", BUDGETS, ledgers.begin_commit, 53_000),
-    Series("purses memory", "B", BUDGETS, ledgers.weigh_escrow, 53_000),
+    Series("purses memory", "B", BUDGETS, ledgers.weigh_holder_accounts, 53_000),
     Series("change in force", "us", BUDGETS, slopes.publish_by_budgets, 53_000),
     Series("declarations memory", "B", BUDGETS, slopes.weigh_catalogue, 53_000),
     Series("targets in force", "us", ENGINES, slopes.configure_targets, 11_000),
--- a/bench/ledgers.py
+++ b/bench/ledgers.py
@@ -70,23 +70,23 @@
     return float(len(dump_json(encode(make_ledger(1, bills=size)))))
 
 
-def make_escrow(size: int) -> HolderAccounts:
+def make_holder_accounts(size: int) -> HolderAccounts:
     """Return a holder with a grant of each of many budgets."""
-    escrow = HolderAccounts("router-0000-0123456789ab")
+    holder_accounts = HolderAccounts("router-0000-0123456789ab")
     for index in range(size):
-        escrow.open(f"budget-{index:05}", 2_000, 20_000)
-    commit = escrow.begin_commit()
+        holder_accounts.open(f"budget-{index:05}", 2_000, 20_000)
+    commit = holder_accounts.begin_commit()
     grants = {name: Grant(20_000, 0, 2_000) for name in commit.draws}
-    escrow.finish_commit(commit, Outcome(grants=grants))
-    return escrow
+    holder_accounts.finish_commit(commit, Outcome(grants=grants))
+    return holder_accounts
 
 
 def begin_commit(size: int) -> float:
     """Return microseconds to gather a commit, by grants that a router holds."""
-    escrow = make_escrow(size)
-    return time_micros(lambda: escrow.begin_commit())
+    holder_accounts = make_holder_accounts(size)
+    return time_micros(lambda: holder_accounts.begin_commit())
 
 
-def weigh_escrow(size: int) -> float:
+def weigh_holder_accounts(size: int) -> float:
     """Return the bytes of memory of a router's grants."""
-    return weigh_bytes(lambda: make_escrow(size))
+    return weigh_bytes(lambda: make_holder_accounts(size))
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -111,8 +111,8 @@
     return None
 
 
-async def _grant_any_claim(self: Any, identity: str, wish: claims.Claim) -> Any:
-    return wish
+async def _grant_any_claim(self: Any, identity: str, request: claims.Claim) -> Any:
+    return request
 
 
 @contextlib.contextmanager
@@ -209,7 +209,7 @@
     Mutant(
         "any claim may be run again",
         ("order runs at most once",),
-        _replace(claims, "judge", lambda found, wish: claims.Verdict.RUN),
+        _replace(claims, "judge", lambda found, request: claims.Verdict.RUN),
     ),
     Mutant(
         "a removed router serves on",
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -58,20 +58,20 @@
     )
 
 
-def make_roster(size: int) -> MemberTable:
+def make_members(size: int) -> MemberTable:
     """Return the fleet as one of its routers sees it."""
-    roster = MemberTable(lease=5_000.0)
+    members = MemberTable(lease=5_000.0)
     for index in range(size):
-        roster = roster.record(make_member(index), 0.0)
-    return roster
+        members = members.record(make_member(index), 0.0)
+    return members
 
 
 def hear_everyone(size: int) -> float:
     """Return microseconds to take in one heartbeat of each other router."""
-    roster = make_roster(size)
+    members = make_members(size)
 
     def work() -> None:
-        heard = roster
+        heard = members
         for index in range(size):
             heard = heard.hear(make_member(index), HeartbeatStatus(in_flight=10), 1.0)
 
@@ -162,9 +162,9 @@
     return asyncio.run(_exchange_beats())[1]
 
 
-def weigh_roster(size: int) -> float:
+def weigh_members(size: int) -> float:
     """Return the bytes of memory of the fleet as one router sees it."""
-    return weigh_bytes(lambda: make_roster(size))
+    return weigh_bytes(lambda: make_members(size))
 
 
 def make_declarations(engines: int, budgets: int = 10) -> list[Declaration]:
@@ -263,8 +263,8 @@
     def work() -> None:
         for number in range(10):
             identity = f"r{number}"
-            wish = Work(identity, "o", "c", candidates, 100, 300, deadline=1e6)
-            dispatcher.arrive(wish, 1.0)
+            request = Work(identity, "o", "c", candidates, 100, 300, deadline=1e6)
+            dispatcher.arrive(request, 1.0)
             dispatcher.first_token(identity, 2.0)
             dispatcher.done(identity, 300, 3.0)
 
--- a/bench/soak/books.py
+++ b/bench/soak/books.py
@@ -54,10 +54,10 @@
     for entry in soak.entries.values():
         ready = entry.node.is_ready()
         journal.check("routers are ready again", ready, entry.presence.name)
-        newest = entry.node.gate.catalogue.revision >= soak.accepted
+        newest = entry.node.access_control.catalogue.revision >= soak.accepted
         journal.check("declarations converge", newest, entry.presence.name)
         serving = {e.name for e in soak.engines.values() if e.is_serving}
-        unused = sorted(serving & entry.node.departing.leaving)
+        unused = sorted(serving & entry.node.leaving_targets.leaving)
         detail = f"{entry.presence.name} takes {unused} for leaving"
         journal.check("engines that serve are used", not unused, detail)
     for identity, asked in soak.asked.items():
--- a/bench/soak/http.py
+++ b/bench/soak/http.py
@@ -131,7 +131,7 @@
     ) -> None:
         await entry.presence.pass_through()
         accepted = self._accepted()
-        revision = entry.node.gate.catalogue.revision
+        revision = entry.node.access_control.catalogue.revision
         served = True
         try:
             await entry.node.callers.handle(request, responder)  # type: ignore[arg-type]
--- a/tests/core/test_allotments.py
+++ b/tests/core/test_allotments.py
@@ -19,8 +19,8 @@
     allotments: Allotments, holder: str, ceiling: int, spent: int = 0, **rest: int
 ) -> Allotments:
     totals = Totals(rest.get("version", 1), {POUNDS: rest.get("total", 1_000)})
-    wish = ShareRequest(ceiling, rest.get("least", spent), spent)
-    return allotments.grant(holder, {POUNDS: wish}, totals)
+    request = ShareRequest(ceiling, rest.get("least", spent), spent)
+    return allotments.grant(holder, {POUNDS: request}, totals)
 
 
 class AllotmentsTest(unittest.TestCase):
--- a/tests/core/test_balances.py
+++ b/tests/core/test_balances.py
@@ -8,34 +8,34 @@
 POUNDS = "pounds"
 
 
-def make_wallet(ceiling: int, total: int = 10_000, now: float = 0.0) -> Balances:
-    wallet = Balances("r1")
-    wallet.configure({POUNDS: total}, now)
+def make_balances(ceiling: int, total: int = 10_000, now: float = 0.0) -> Balances:
+    balances = Balances("r1")
+    balances.configure({POUNDS: total}, now)
     shares = {"r1": Share(ceiling, 0)}
-    wallet.take(Allotments({POUNDS: Allotment(total, 1, shares=shares)}), now)
-    return wallet
+    balances.take(Allotments({POUNDS: Allotment(total, 1, shares=shares)}), now)
+    return balances
 
 
 class WalletTest(unittest.TestCase):
     def test_a_request_reserves_its_maximum_and_returns_the_rest(self):
-        wallet = make_wallet(ceiling=100)
-        self.assertTrue(wallet.reserve(POUNDS, "a", 80, 0.0))
-        self.assertFalse(wallet.reserve(POUNDS, "b", 30, 0.0))
-        wallet.settle(POUNDS, "a", 50, 1.0)
-        self.assertTrue(wallet.reserve(POUNDS, "b", 30, 2.0))
-        self.assertEqual(wallet.balances[POUNDS].available(2.0), 20)
+        balances = make_balances(ceiling=100)
+        self.assertTrue(balances.reserve(POUNDS, "a", 80, 0.0))
+        self.assertFalse(balances.reserve(POUNDS, "b", 30, 0.0))
+        balances.settle(POUNDS, "a", 50, 1.0)
+        self.assertTrue(balances.reserve(POUNDS, "b", 30, 2.0))
+        self.assertEqual(balances.balances[POUNDS].available(2.0), 20)
 
     def test_a_request_never_costs_more_than_it_reserved(self):
-        wallet = make_wallet(ceiling=100)
-        wallet.reserve(POUNDS, "a", 80, 0.0)
-        wallet.settle(POUNDS, "a", 1_000, 1.0)
-        self.assertEqual(wallet.balances[POUNDS].spent, 80)
+        balances = make_balances(ceiling=100)
+        balances.reserve(POUNDS, "a", 80, 0.0)
+        balances.settle(POUNDS, "a", 1_000, 1.0)
+        self.assertEqual(balances.balances[POUNDS].spent, 80)
 
     def test_an_organisation_without_a_total_is_not_limited(self):
-        wallet = Balances("r1")
-        wallet.configure({POUNDS: None}, 0.0)
-        self.assertTrue(wallet.reserve(POUNDS, "a", 10**9, 0.0))
-        self.assertFalse(wallet.wants_change(0.0))
+        balances = Balances("r1")
+        balances.configure({POUNDS: None}, 0.0)
+        self.assertTrue(balances.reserve(POUNDS, "a", 10**9, 0.0))
+        self.assertFalse(balances.wants_change(0.0))
 
     def test_a_reduction_applies_before_it_is_sent(self):
         """Guards against spending returned tokens when the response is lost.
@@ -43,13 +43,13 @@
         The write took effect and another router draws the tokens.  If this router
         counted on them until the response arrived, both could spend them.
         """
-        wallet = make_wallet(ceiling=9_000)
-        wish = wallet.make_share_requests(now=0.0)[POUNDS]
-        self.assertLess(wish.ceiling, 9_000)
-        self.assertEqual(wallet.balances[POUNDS].ceiling, wish.ceiling)
+        balances = make_balances(ceiling=9_000)
+        request = balances.make_share_requests(now=0.0)[POUNDS]
+        self.assertLess(request.ceiling, 9_000)
+        self.assertEqual(balances.balances[POUNDS].ceiling, request.ceiling)
 
     def test_transferred_tokens_count_once(self):
-        giver, receiver = make_wallet(ceiling=100), make_wallet(ceiling=0)
+        giver, receiver = make_balances(ceiling=100), make_balances(ceiling=0)
         self.assertTrue(giver.reserve(POUNDS, "r2/1", 50, 0.0))
         given = giver.transfer_reservation(POUNDS, "r2/1", 0.0)
         self.assertEqual(given, 50)
@@ -58,18 +58,18 @@
         self.assertEqual(together, 100)
 
     def test_a_reduced_total_disables_held_tokens_at_once(self):
-        wallet = make_wallet(ceiling=1_000)
-        wallet.reserve(POUNDS, "a", 10, 0.0)
-        wallet.configure({POUNDS: 500}, 1.0)
-        self.assertFalse(wallet.reserve(POUNDS, "b", 10, 1.0))
+        balances = make_balances(ceiling=1_000)
+        balances.reserve(POUNDS, "a", 10, 0.0)
+        balances.configure({POUNDS: 500}, 1.0)
+        self.assertFalse(balances.reserve(POUNDS, "b", 10, 1.0))
 
     def test_a_cushion_follows_the_rate_of_use(self):
-        wallet = make_wallet(ceiling=200_000, total=200_000)
+        balances = make_balances(ceiling=200_000, total=200_000)
         for second in range(30):
             now = second * 1_000.0
-            wallet.reserve(POUNDS, str(second), 5_000, now)
-            wallet.settle(POUNDS, str(second), 5_000, now)
-        cushion = wallet.balances[POUNDS].cushion(29_000.0)
+            balances.reserve(POUNDS, str(second), 5_000, now)
+            balances.settle(POUNDS, str(second), 5_000, now)
+        cushion = balances.balances[POUNDS].cushion(29_000.0)
         # 5 tokens per millisecond for 10 s.
         self.assertAlmostEqual(cushion, 50_000, delta=0.15 * 50_000)
 
@@ -79,9 +79,9 @@
         It does not know the other routers yet.  If it were killed a second later,
         tokens that all others together need for seconds would be unusable.
         """
-        wallet = Balances("r1")
-        wallet.configure({POUNDS: 1_000_000}, 0.0)
-        self.assertEqual(wallet.make_share_requests(0.0)[POUNDS].ceiling, 2_000)
+        balances = Balances("r1")
+        balances.configure({POUNDS: 1_000_000}, 0.0)
+        self.assertEqual(balances.make_share_requests(0.0)[POUNDS].ceiling, 2_000)
 
     def test_cushions_shrink_as_the_total_ends(self):
         """Guards against losing much of a nearly used total when routers are killed.
@@ -121,15 +121,15 @@
         self.assertEqual(late.make_use(0.0), Use(0, 6_000, 55_000))
 
     def test_a_router_that_is_no_keeper_returns_idle_tokens(self):
-        wallet = make_wallet(ceiling=0)
-        wallet.balances[POUNDS].rank = None
-        wallet.receive(POUNDS, 80)
-        self.assertTrue(wallet.reserve(POUNDS, "a", 60, 0.0))
-        wallet.settle(POUNDS, "a", 50, 10.0)
-        self.assertEqual(wallet.find_returnable(900.0), {})
-        self.assertEqual(wallet.find_returnable(1_100.0), {POUNDS: 30})
-        wallet.debit(POUNDS, 30)
-        self.assertEqual(wallet.balances[POUNDS].ready, 0)
+        balances = make_balances(ceiling=0)
+        balances.balances[POUNDS].rank = None
+        balances.receive(POUNDS, 80)
+        self.assertTrue(balances.reserve(POUNDS, "a", 60, 0.0))
+        balances.settle(POUNDS, "a", 50, 10.0)
+        self.assertEqual(balances.find_returnable(900.0), {})
+        self.assertEqual(balances.find_returnable(1_100.0), {POUNDS: 30})
+        balances.debit(POUNDS, 30)
+        self.assertEqual(balances.balances[POUNDS].ready, 0)
 
     def test_a_router_that_is_no_keeper_spends_received_tokens_at_once(self):
         """Guards against unused transferred tokens at a router that is no keeper.
@@ -138,36 +138,38 @@
         its old record still limited it, it would ask the keepers for tokens for each
         request while tokens that they had transferred stay unused.
         """
-        wallet = make_wallet(ceiling=1_000)
-        wallet.pace(UseRecord("r1", "ip", 0.0, uses=wallet.make_uses(0.0)))
-        self.assertTrue(wallet.must_record_use())
-        balance = wallet.balances[POUNDS]
+        balances = make_balances(ceiling=1_000)
+        balances.pace(UseRecord("r1", "ip", 0.0, uses=balances.make_uses(0.0)))
+        self.assertTrue(balances.must_record_use())
+        balance = balances.balances[POUNDS]
         balance.rank = None
-        self.assertTrue(wallet.must_record_use())
-        wallet.confirm_record(UseRecord("r1", "ip", 1.0, uses=wallet.make_uses(1.0)))
-        self.assertFalse(wallet.must_record_use())
-        wallet.receive(POUNDS, 500)
+        self.assertTrue(balances.must_record_use())
+        balances.confirm_record(
+            UseRecord("r1", "ip", 1.0, uses=balances.make_uses(1.0))
+        )
+        self.assertFalse(balances.must_record_use())
+        balances.receive(POUNDS, 500)
         self.assertEqual(balance.available(1.0), 1_500)
 
     def test_a_router_that_is_no_keeper_draws_only_when_no_keeper_answers(self):
-        wallet = make_wallet(ceiling=0)
-        wallet.balances[POUNDS].rank = None
-        wallet.reserve(POUNDS, "a", 60, 0.0)
-        self.assertFalse(wallet.has_drawable_waiters(0.0))
-        wallet.record_missing_allocator(POUNDS, 0.0)
-        self.assertTrue(wallet.has_drawable_waiters(10.0))
-        self.assertEqual(wallet.make_share_requests(10.0)[POUNDS].ceiling, 60)
+        balances = make_balances(ceiling=0)
+        balances.balances[POUNDS].rank = None
+        balances.reserve(POUNDS, "a", 60, 0.0)
+        self.assertFalse(balances.has_drawable_waiters(0.0))
+        balances.record_missing_allocator(POUNDS, 0.0)
+        self.assertTrue(balances.has_drawable_waiters(10.0))
+        self.assertEqual(balances.make_share_requests(10.0)[POUNDS].ceiling, 60)
 
     def test_a_request_waits_for_those_before_it(self):
-        wallet = make_wallet(ceiling=1_000)
-        wallet.pace(UseRecord("r1", "ip", 0.0, uses={POUNDS: Use(0, 100, 1_000)}))
+        balances = make_balances(ceiling=1_000)
+        balances.pace(UseRecord("r1", "ip", 0.0, uses={POUNDS: Use(0, 100, 1_000)}))
         for key in ("a", "b"):
-            self.assertFalse(wallet.reserve(POUNDS, key, 200, 0.0))
+            self.assertFalse(balances.reserve(POUNDS, key, 200, 0.0))
         # Of the other 900 tokens, 100 unlock after 8 s * sqrt(1/9) and 300 after
         # 8 s * sqrt(1/3).
-        self.assertAlmostEqual(wallet.find_wait(POUNDS, "a", 0.0), 8_000.0 / 3)
+        self.assertAlmostEqual(balances.find_wait(POUNDS, "a", 0.0), 8_000.0 / 3)
         self.assertAlmostEqual(
-            wallet.find_wait(POUNDS, "b", 0.0), 8_000.0 * (1 / 3) ** 0.5
+            balances.find_wait(POUNDS, "b", 0.0), 8_000.0 * (1 / 3) ** 0.5
         )
 
     def test_spending_obeys_every_record_that_may_be_stored(self):
@@ -177,49 +179,49 @@
         If the router obeyed only one of the two records, it could spend more than is
         counted when its share is ended after a crash.
         """
-        wallet = make_wallet(ceiling=1_000)
+        balances = make_balances(ceiling=1_000)
         uses = [Use(0, 300, 1_000), Use(100, 50, 900)]
         records = [UseRecord("r1", "ip", 0.0, uses={POUNDS: use}) for use in uses]
-        wallet.pace(records[0])
-        self.assertEqual(wallet.balances[POUNDS].available(0.0), 300)
-        wallet.pace(records[1])
-        self.assertEqual(wallet.balances[POUNDS].available(0.0), 150)
-        wallet.confirm_record(records[0])
-        self.assertEqual(wallet.balances[POUNDS].available(0.0), 300)
+        balances.pace(records[0])
+        self.assertEqual(balances.balances[POUNDS].available(0.0), 300)
+        balances.pace(records[1])
+        self.assertEqual(balances.balances[POUNDS].available(0.0), 150)
+        balances.confirm_record(records[0])
+        self.assertEqual(balances.balances[POUNDS].available(0.0), 300)
 
     def test_a_paced_router_lacks_nothing_and_draws_nothing(self):
-        wallet = make_wallet(ceiling=1_000)
-        wallet.pace(UseRecord("r1", "ip", 0.0, uses={POUNDS: Use(0, 100, 1_000)}))
-        self.assertFalse(wallet.reserve(POUNDS, "a", 400, 0.0))
-        self.assertFalse(wallet.has_drawable_waiters(0.0))
+        balances = make_balances(ceiling=1_000)
+        balances.pace(UseRecord("r1", "ip", 0.0, uses={POUNDS: Use(0, 100, 1_000)}))
+        self.assertFalse(balances.reserve(POUNDS, "a", 400, 0.0))
+        self.assertFalse(balances.has_drawable_waiters(0.0))
         # A third of the other 900 tokens unlocks after 8 s * sqrt(1/3).
-        wait = wallet.balances[POUNDS].find_wait(400, 0.0)
+        wait = balances.balances[POUNDS].find_wait(400, 0.0)
         self.assertAlmostEqual(wait, 8_000.0 * (1 / 3) ** 0.5)
-        self.assertTrue(wallet.reserve(POUNDS, "a", 400, wait + 5.0))
+        self.assertTrue(balances.reserve(POUNDS, "a", 400, wait + 5.0))
 
     def test_waiting_requests_are_recorded_as_spent(self):
-        wallet = make_wallet(ceiling=1_000)
-        wallet.balances[POUNDS].waiting["a"] = 400
-        use = wallet.make_uses(0.0)[POUNDS]
+        balances = make_balances(ceiling=1_000)
+        balances.balances[POUNDS].waiting["a"] = 400
+        use = balances.make_uses(0.0)[POUNDS]
         self.assertEqual((use.recorded, use.cushion), (400, 600))
 
     def test_exhaustion_is_certain_only_without_doubt(self):
-        wallet = make_wallet(ceiling=0, total=100)
+        balances = make_balances(ceiling=0, total=100)
         known = Allotment(100, 1, closed=60, shares={"r2": Share(40, 40)})
-        wallet.take(Allotments({POUNDS: known}), 0.0)
-        self.assertTrue(wallet.is_exhausted(POUNDS, 1))
+        balances.take(Allotments({POUNDS: known}), 0.0)
+        self.assertTrue(balances.is_exhausted(POUNDS, 1))
         doubtful = Allotment(100, 1, closed=60, doubt=5, shares={"r2": Share(40, 40)})
-        wallet.take(Allotments({POUNDS: doubtful}), 0.0)
-        self.assertFalse(wallet.is_exhausted(POUNDS, 5))
-        self.assertTrue(wallet.is_exhausted(POUNDS, 6))
+        balances.take(Allotments({POUNDS: doubtful}), 0.0)
+        self.assertFalse(balances.is_exhausted(POUNDS, 5))
+        self.assertTrue(balances.is_exhausted(POUNDS, 6))
 
     def test_nothing_is_drawn_again_while_nothing_is_free(self):
-        wallet = make_wallet(ceiling=0, total=100)
+        balances = make_balances(ceiling=0, total=100)
         known = Allotment(100, 1, closed=100)
-        wallet.reserve(POUNDS, "a", 10, 0.0)
-        wallet.take(Allotments({POUNDS: known}), 0.0)
-        self.assertFalse(wallet.wants_change(1_500.0))
-        self.assertTrue(wallet.wants_change(2_500.0))
+        balances.reserve(POUNDS, "a", 10, 0.0)
+        balances.take(Allotments({POUNDS: known}), 0.0)
+        self.assertFalse(balances.wants_change(1_500.0))
+        self.assertTrue(balances.wants_change(2_500.0))
 
     def test_one_write_returns_the_free_tokens_of_every_organisation(self):
         """Guards against one billed write per organisation.
@@ -227,32 +229,32 @@
         Requests of many organisations arrive, each near the end of its total.  The
         write made for the first returned the free tokens of all of them.
         """
-        wallet = Balances("r1")
+        balances = Balances("r1")
         names = ("inns", POUNDS)
-        wallet.configure(dict.fromkeys(names, 1_000), 0.0)
+        balances.configure(dict.fromkeys(names, 1_000), 0.0)
         nearly_all = Allotment(1_000, 1, closed=950)
-        wallet.take(Allotments(dict.fromkeys(names, nearly_all)), 0.0)
-        self.assertFalse(wallet.reserve(POUNDS, "a", 60, 500.0))
-        self.assertFalse(wallet.has_drawable_waiters(500.0))
-        self.assertTrue(wallet.is_depleted(POUNDS, 500.0))
-        self.assertTrue(wallet.has_drawable_waiters(2_000.0))
+        balances.take(Allotments(dict.fromkeys(names, nearly_all)), 0.0)
+        self.assertFalse(balances.reserve(POUNDS, "a", 60, 500.0))
+        self.assertFalse(balances.has_drawable_waiters(500.0))
+        self.assertTrue(balances.is_depleted(POUNDS, 500.0))
+        self.assertTrue(balances.has_drawable_waiters(2_000.0))
 
     def test_free_tokens_supplement_held_tokens(self):
-        wallet = Balances("r1")
-        wallet.configure({POUNDS: 1_000}, 0.0)
+        balances = Balances("r1")
+        balances.configure({POUNDS: 1_000}, 0.0)
         shares = {"r1": Share(40, 0)}
         known = Allotment(1_000, 1, closed=930, shares=shares)
-        wallet.take(Allotments({POUNDS: known}), 0.0)
+        balances.take(Allotments({POUNDS: known}), 0.0)
         # 40 tokens are held and 30 are free, enough for 60.
-        self.assertFalse(wallet.reserve(POUNDS, "a", 60, 500.0))
-        self.assertTrue(wallet.has_drawable_waiters(500.0))
+        self.assertFalse(balances.reserve(POUNDS, "a", 60, 500.0))
+        self.assertTrue(balances.has_drawable_waiters(500.0))
 
     def test_an_increased_total_is_drawn_from_at_once(self):
-        wallet = Balances("r1")
-        wallet.configure({POUNDS: 1_000}, 0.0)
+        balances = Balances("r1")
+        balances.configure({POUNDS: 1_000}, 0.0)
         known = Allotment(1_000, 1, closed=1_000)
-        wallet.take(Allotments({POUNDS: known}), 0.0)
-        wallet.reserve(POUNDS, "a", 60, 500.0)
-        self.assertFalse(wallet.has_drawable_waiters(500.0))
-        wallet.configure({POUNDS: 2_000}, 600.0)
-        self.assertTrue(wallet.has_drawable_waiters(600.0))
+        balances.take(Allotments({POUNDS: known}), 0.0)
+        balances.reserve(POUNDS, "a", 60, 500.0)
+        self.assertFalse(balances.has_drawable_waiters(500.0))
+        balances.configure({POUNDS: 2_000}, 600.0)
+        self.assertTrue(balances.has_drawable_waiters(600.0))
--- a/tests/core/test_budget_machine.py
+++ b/tests/core/test_budget_machine.py
@@ -18,7 +18,7 @@
     """A router's budget state; its ledger calls begin and end in separate events."""
 
     incarnation: str
-    escrow: HolderAccounts
+    holder_accounts: HolderAccounts
     copies: BillCopies
     allowance: int = 60
     generation: int = 0
@@ -30,12 +30,12 @@
     @classmethod
     def start(cls, name: str) -> "Router":
         router = cls(name, HolderAccounts(name), BillCopies(name))
-        router.escrow.open("pounds", router.allowance, level=150)
+        router.holder_accounts.open("pounds", router.allowance, level=150)
         return router
 
     @property
     def grant_state(self):
-        return self.escrow.grant_states["pounds"]
+        return self.holder_accounts.grant_states["pounds"]
 
 
 class BudgetRun:
@@ -85,7 +85,7 @@
         router = self.routers[at]
         self.now += 1
         key = f"k{self.now}"
-        if router.escrow.reserve("pounds", key, tokens, float(self.now)):
+        if router.holder_accounts.reserve("pounds", key, tokens, float(self.now)):
             router.running[key] = tokens
         if ends and router.running:
             self.end_request(router)
@@ -93,16 +93,19 @@
     def end_request(self, router):
         key, tokens = router.running.popitem()
         self.tokens[key] = tokens
-        bill = Bill(key, "kosice", tokens, router.escrow.holder, at=self.now)
-        router.escrow.bill("pounds", bill)
+        bill = Bill(key, "kosice", tokens, router.holder_accounts.holder, at=self.now)
+        router.holder_accounts.bill("pounds", bill)
 
     def release_early(self, at, reachable):
         router = self.routers[at]
         for key in list(router.grant_state.pending):
-            if not router.escrow.release_early("pounds", key):
+            if not router.holder_accounts.release_early("pounds", key):
                 continue
             bills = (("pounds", router.grant_state.pending[key]),)
-            holder, witness = router.escrow.holder, router.grant_state.grant.witness
+            holder, witness = (
+                router.holder_accounts.holder,
+                router.grant_state.grant.witness,
+            )
             kept = [
                 reachable and one.copies.add(holder, bills, witness)
                 for one in self.routers
@@ -112,18 +115,20 @@
                 self.answered.add(key)
 
     def set_allowance(self, at, allowance):
-        self.routers[at].escrow.open("pounds", allowance, level=150)
+        self.routers[at].holder_accounts.open("pounds", allowance, level=150)
 
     def choose_witness(self, at, of):
         name = "" if at == of else self.routers[of].incarnation
-        self.routers[at].escrow.choose_witness(name)
+        self.routers[at].holder_accounts.choose_witness(name)
 
     def commit(self, at, returning, fate):
         """Commit; a later event finishes or loses a commit that hangs."""
         router = self.routers[at]
         if router.commit is None:
-            escrow, now = router.escrow, float(self.now)
-            make = escrow.give_back if returning else escrow.begin_commit
+            holder_accounts, now = router.holder_accounts, float(self.now)
+            make = (
+                holder_accounts.give_back if returning else holder_accounts.begin_commit
+            )
             router.commit = make(now=now)
         if fate != "request lost":
             self.ledger, router.outcome = self.ledger.apply(router.commit)
@@ -141,28 +146,30 @@
         router.commit = router.outcome = None
         self.add_answered(outcome.bills)
         if not outcome.sealed:
-            router.escrow.finish_commit(commit, outcome, float(self.now))
+            router.holder_accounts.finish_commit(commit, outcome, float(self.now))
             assert not router.grant_state.frozen
             return
-        router.escrow.drop_decided_bills(outcome.bills)
-        router.sealed.append(router.escrow)
+        router.holder_accounts.drop_decided_bills(outcome.bills)
+        router.sealed.append(router.holder_accounts)
         router.generation += 1
         name = f"{router.incarnation}.{router.generation}"
-        router.escrow = router.escrow.succeed(name)
+        router.holder_accounts = router.holder_accounts.succeed(name)
 
     def seal(self, at):
-        self.ledger = self.ledger.seal(self.routers[at].escrow.holder, self.now + 1)
+        self.ledger = self.ledger.seal(
+            self.routers[at].holder_accounts.holder, self.now + 1
+        )
 
     def submit_released(self, at):
-        for escrow in self.routers[at].sealed:
-            bills = escrow.list_released()
+        for holder_accounts in self.routers[at].sealed:
+            bills = holder_accounts.list_released()
             self.ledger, states = self.ledger.submit_late_bills(
-                escrow.holder, bills, escrow.holder
+                holder_accounts.holder, bills, holder_accounts.holder
             )
             self.add_answered(states)
             refused = {key for (_, key), s in states.items() if s is BillState.REFUSED}
             assert not refused & self.answered, "the bill of an ended answer is refused"
-            self.routers[at].escrow.adopt(states, bills)
+            self.routers[at].holder_accounts.adopt(states, bills)
         self.routers[at].sealed = []
 
     def witness(self, at):
--- a/tests/core/test_claims.py
+++ b/tests/core/test_claims.py
@@ -30,12 +30,12 @@
         self.assertEqual(judge(done, Claim("digest", "r2", "t2", 0)), Verdict.ANSWER)
 
     def test_work_that_was_never_sent_may_be_claimed_again(self):
-        wish = Claim("digest", "r2", "t2", at=0)
-        self.assertEqual(judge(OPEN.void(), wish), Verdict.RUN)
+        request = Claim("digest", "r2", "t2", at=0)
+        self.assertEqual(judge(OPEN.void(), request), Verdict.RUN)
 
     def test_lost_work_is_not_waited_for(self):
-        wish = Claim("digest", "r2", "t2", at=0)
-        self.assertEqual(judge(OPEN.lose(), wish), Verdict.LOST)
+        request = Claim("digest", "r2", "t2", at=0)
+        self.assertEqual(judge(OPEN.lose(), request), Verdict.LOST)
 
 
 class EndTest(unittest.TestCase):
--- a/tests/core/test_holderaccounts.py
+++ b/tests/core/test_holderaccounts.py
@@ -7,34 +7,34 @@
 from anvilshift.core.ledger import Bill, BillState, Grant, Ledger
 
 
-def make_escrow(
+def make_holder_accounts(
     tokens: int = 1_000, allowance: int = 100
 ) -> tuple[HolderAccounts, Ledger]:
-    escrow = HolderAccounts("r1")
-    escrow.open("pounds", allowance, level=500)
+    holder_accounts = HolderAccounts("r1")
+    holder_accounts.open("pounds", allowance, level=500)
     ledger = Ledger().top_up("pounds", "invoice", tokens)
-    return escrow, commit(escrow, ledger)
+    return holder_accounts, commit(holder_accounts, ledger)
 
 
-def commit(escrow: HolderAccounts, ledger: Ledger) -> Ledger:
-    request = escrow.begin_commit()
+def commit(holder_accounts: HolderAccounts, ledger: Ledger) -> Ledger:
+    request = holder_accounts.begin_commit()
     ledger, outcome = ledger.apply(request)
-    escrow.finish_commit(request, outcome)
+    holder_accounts.finish_commit(request, outcome)
     return ledger
 
 
 class EscrowTest(unittest.TestCase):
     def test_reservations_never_exceed_the_grant(self):
-        escrow, _ = make_escrow()
-        self.assertTrue(escrow.reserve("pounds", "a", 400))
-        self.assertFalse(escrow.reserve("pounds", "b", 101))
-        self.assertTrue(escrow.reserve("pounds", "c", 100))
+        holder_accounts, _ = make_holder_accounts()
+        self.assertTrue(holder_accounts.reserve("pounds", "a", 400))
+        self.assertFalse(holder_accounts.reserve("pounds", "b", 101))
+        self.assertTrue(holder_accounts.reserve("pounds", "c", 100))
 
     def test_shortage_is_drawn_with_the_next_commit(self):
-        escrow, ledger = make_escrow()
-        self.assertFalse(escrow.reserve("pounds", "a", 800))
-        commit(escrow, ledger)
-        self.assertTrue(escrow.reserve("pounds", "a", 800))
+        holder_accounts, ledger = make_holder_accounts()
+        self.assertFalse(holder_accounts.reserve("pounds", "a", 800))
+        commit(holder_accounts, ledger)
+        self.assertTrue(holder_accounts.reserve("pounds", "a", 800))
 
     def test_early_release_stays_within_the_allowance(self):
         """Guards against releasing more than the allowance in a platform outage.
@@ -42,12 +42,12 @@
         Only the allowance stays in doubt when this router is sealed.  Tokens
         released beyond it would be given to another holder a second time.
         """
-        escrow, _ = make_escrow(allowance=100)
+        holder_accounts, _ = make_holder_accounts(allowance=100)
         for key, tokens in (("a", 70), ("b", 40)):
-            escrow.reserve("pounds", key, tokens)
-            escrow.bill("pounds", Bill(key, "kosice", tokens, "r1"))
-        self.assertTrue(escrow.release_early("pounds", "a"))
-        self.assertFalse(escrow.release_early("pounds", "b"))
+            holder_accounts.reserve("pounds", key, tokens)
+            holder_accounts.bill("pounds", Bill(key, "kosice", tokens, "r1"))
+        self.assertTrue(holder_accounts.release_early("pounds", "a"))
+        self.assertFalse(holder_accounts.release_early("pounds", "b"))
 
     def test_returned_tokens_are_unavailable_before_the_response(self):
         """Guards against spending returned tokens when the response is lost.
@@ -55,10 +55,10 @@
         Another router may draw them at once, so this one must stop counting on
         them before it knows whether the write took effect.
         """
-        escrow, ledger = make_escrow()
-        ledger, _ = ledger.apply(escrow.give_back())
+        holder_accounts, ledger = make_holder_accounts()
+        ledger, _ = ledger.apply(holder_accounts.give_back())
         self.assertEqual(ledger.account("pounds").free, 1_000)
-        self.assertFalse(escrow.reserve("pounds", "a", 1))
+        self.assertFalse(holder_accounts.reserve("pounds", "a", 1))
 
     def test_lowered_allowance_applies_when_the_response_is_lost(self):
         """Guards against releasing more than a lowered allowance.
@@ -68,44 +68,44 @@
         would release more than sealing leaves in doubt, and the difference would be
         drawn a second time.
         """
-        escrow, ledger = make_escrow(allowance=100)
-        escrow.open("pounds", 10, level=500)
-        ledger, _ = ledger.apply(escrow.begin_commit())
-        escrow.open("pounds", 100, level=500)
-        escrow.reserve("pounds", "a", 70)
-        escrow.bill("pounds", Bill("a", "kosice", 70, "r1"))
-        self.assertFalse(escrow.release_early("pounds", "a"))
+        holder_accounts, ledger = make_holder_accounts(allowance=100)
+        holder_accounts.open("pounds", 10, level=500)
+        ledger, _ = ledger.apply(holder_accounts.begin_commit())
+        holder_accounts.open("pounds", 100, level=500)
+        holder_accounts.reserve("pounds", "a", 70)
+        holder_accounts.bill("pounds", Bill("a", "kosice", 70, "r1"))
+        self.assertFalse(holder_accounts.release_early("pounds", "a"))
         self.assertEqual(ledger.seal("r1").account("pounds").doubt, 10)
 
     def test_no_early_release_while_the_witness_changes(self):
-        escrow, ledger = make_escrow(allowance=100)
-        escrow.choose_witness("r2-a")
-        escrow.reserve("pounds", "a", 70)
-        escrow.bill("pounds", Bill("a", "kosice", 70, "r1"))
-        self.assertFalse(escrow.release_early("pounds", "a"))
-        ledger = commit(escrow, ledger)
+        holder_accounts, ledger = make_holder_accounts(allowance=100)
+        holder_accounts.choose_witness("r2-a")
+        holder_accounts.reserve("pounds", "a", 70)
+        holder_accounts.bill("pounds", Bill("a", "kosice", 70, "r1"))
+        self.assertFalse(holder_accounts.release_early("pounds", "a"))
+        ledger = commit(holder_accounts, ledger)
         self.assertEqual(ledger.account("pounds").grants["r1"].witness, "r2-a")
 
     def test_request_sent_again_while_its_bill_waits_is_one_bill(self):
-        escrow, ledger = make_escrow()
+        holder_accounts, ledger = make_holder_accounts()
         for tokens in (40, 60):
-            escrow.reserve("pounds", "a", tokens)
-            escrow.bill("pounds", Bill("a", "kosice", tokens, "r1"))
-        self.assertEqual(commit(escrow, ledger).account("pounds").spent, 40)
+            holder_accounts.reserve("pounds", "a", tokens)
+            holder_accounts.bill("pounds", Bill("a", "kosice", tokens, "r1"))
+        self.assertEqual(commit(holder_accounts, ledger).account("pounds").spent, 40)
 
     def test_idle_router_returns_its_cushion(self):
-        escrow, ledger = make_escrow(allowance=50)
-        escrow.reserve("pounds", "a", 10, now=0.0)
-        request = escrow.begin_commit(now=60_000.0)
+        holder_accounts, ledger = make_holder_accounts(allowance=50)
+        holder_accounts.reserve("pounds", "a", 10, now=0.0)
+        request = holder_accounts.begin_commit(now=60_000.0)
         ledger, _ = ledger.apply(request)
         self.assertEqual(ledger.account("pounds").held, 60)
 
     def test_successor_bills_pending_requests_of_a_sealed_holder(self):
-        escrow, ledger = make_escrow()
-        escrow.reserve("pounds", "a", 40)
-        escrow.bill("pounds", Bill("a", "kosice", 40, "r1"))
+        holder_accounts, ledger = make_holder_accounts()
+        holder_accounts.reserve("pounds", "a", 40)
+        holder_accounts.bill("pounds", Bill("a", "kosice", 40, "r1"))
         ledger = ledger.seal("r1")
-        successor = escrow.succeed("r1.1")
+        successor = holder_accounts.succeed("r1.1")
         request = successor.begin_commit()
         ledger, outcome = ledger.apply(request)
         successor.finish_commit(request, outcome)
@@ -113,8 +113,8 @@
         self.assertEqual(ledger.account("pounds").spent, 40)
 
     def test_refusal_tells_unreachable_from_exhausted(self):
-        escrow, _ = make_escrow()
-        grant_state = escrow.grant_states["pounds"]
+        holder_accounts, _ = make_holder_accounts()
+        grant_state = holder_accounts.grant_states["pounds"]
         grant_state.take(Grant(), free=0, elsewhere=300, now=0.0)
         self.assertEqual(grant_state.refuse("a", 300, now=0.0), BUDGET_UNREACHABLE)
         self.assertEqual(grant_state.refuse("a", 301, now=0.0), BUDGET_EXHAUSTED)
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -20,12 +20,12 @@
     )
 
 
-def make_roster(**heard):
+def make_members(**heard):
     """Return a roster from the vitals and instant of each member's last heartbeat."""
-    roster = MemberTable(LEASE)
+    members = MemberTable(LEASE)
     for name, (heartbeat_status, at) in heard.items():
-        roster = roster.hear(make_member(name), heartbeat_status, at)
-    return roster
+        members = members.hear(make_member(name), heartbeat_status, at)
+    return members
 
 
 class LeaseTest(unittest.TestCase):
@@ -42,26 +42,26 @@
         return may_serve
 
     def test_isolated_router_stops_when_its_lease_expires(self):
-        roster = make_roster(r2=(SETTLED, 0.0), r3=(SETTLED, 0.0))
-        self.assertTrue(self.serve_until(lambda now: roster, 4_000))
-        self.assertFalse(self.lease.may_serve(roster, SEEN, 4_500.0))
+        members = make_members(r2=(SETTLED, 0.0), r3=(SETTLED, 0.0))
+        self.assertTrue(self.serve_until(lambda now: members, 4_000))
+        self.assertFalse(self.lease.may_serve(members, SEEN, 4_500.0))
 
     def test_whole_fleet_keeps_serving_during_a_platform_outage(self):
         def all_out(now):
-            return make_roster(r2=(OUT, now), r3=(OUT, now))
+            return make_members(r2=(OUT, now), r3=(OUT, now))
 
         self.assertTrue(self.serve_until(all_out, 60_000))
 
     def test_minority_stops_during_a_platform_outage_and_a_partition(self):
         def one_of_five(now):
             silent = (OUT, 0.0)
-            return make_roster(r2=(OUT, now), r3=silent, r4=silent, r5=silent)
+            return make_members(r2=(OUT, now), r3=silent, r4=silent, r5=silent)
 
         self.assertFalse(self.serve_until(one_of_five, 9_000))
 
     def test_router_stops_if_it_hears_that_another_renews(self):
         def one_renews(now):
-            return make_roster(
+            return make_members(
                 r2=(OUT, now), r3=(HeartbeatStatus(renewing_for=1.0), now)
             )
 
@@ -77,7 +77,7 @@
 
         def renews_until_six(now):
             heartbeat_status = SETTLED if now < 6_000 else OUT
-            return make_roster(r2=(heartbeat_status, now), r3=(heartbeat_status, now))
+            return make_members(r2=(heartbeat_status, now), r3=(heartbeat_status, now))
 
         self.assertFalse(self.serve_until(renews_until_six, 60_000))
         self.lease.begin(60_500.0)
@@ -95,7 +95,7 @@
         """
 
         def all_out(now):
-            return make_roster(r2=(OUT, now), r3=(OUT, now))
+            return make_members(r2=(OUT, now), r3=(OUT, now))
 
         self.assertTrue(self.serve_until(all_out, 6_000))
         self.assertFalse(self.lease.may_serve(all_out(30_000.0), SEEN, 30_000.0))
@@ -111,24 +111,24 @@
 class RemovalTest(unittest.TestCase):
     own = make_member("r1")
 
-    def may_remove(self, roster, now=5_000.0, renewing_for=2 * LEASE):
+    def may_remove(self, members, now=5_000.0, renewing_for=2 * LEASE):
         lost = make_member("r9")
-        return roster.may_remove(lost, self.own, renewing_for, now)
+        return members.may_remove(lost, self.own, renewing_for, now)
 
     def test_routers_that_renew_may_remove_a_lost_one(self):
-        roster = make_roster(r2=(SETTLED, 4_500.0), r9=(SETTLED, 0.0))
-        self.assertTrue(self.may_remove(roster))
+        members = make_members(r2=(SETTLED, 4_500.0), r9=(SETTLED, 0.0))
+        self.assertTrue(self.may_remove(members))
 
     def test_half_of_a_fleet_removes_the_other_half(self):
         """Two of four hosts fail at once, such as a rack of a small fleet."""
         lost = (SETTLED, 0.0)
-        roster = make_roster(r2=(SETTLED, 4_500.0), r8=lost, r9=lost)
-        self.assertTrue(self.may_remove(roster))
-        self.assertFalse(self.may_remove(make_roster(r2=lost, r8=lost, r9=lost)))
+        members = make_members(r2=(SETTLED, 4_500.0), r8=lost, r9=lost)
+        self.assertTrue(self.may_remove(members))
+        self.assertFalse(self.may_remove(make_members(r2=lost, r8=lost, r9=lost)))
 
     def test_half_of_a_fleet_without_the_platform_does_not_serve(self):
-        roster = make_roster(r2=(OUT, 4_500.0), r3=(OUT, 0.0), r4=(OUT, 0.0))
-        self.assertFalse(roster.is_platform_down(SEEN, 4_600.0))
+        members = make_members(r2=(OUT, 4_500.0), r3=(OUT, 0.0), r4=(OUT, 0.0))
+        self.assertFalse(members.is_platform_down(SEEN, 4_600.0))
 
     def test_minority_that_reaches_the_platform_removes_no_router(self):
         """Guards against removing a cut-off majority that keeps serving.
@@ -139,12 +139,12 @@
         them.
         """
         silent = (SETTLED, 0.0)
-        roster = make_roster(r2=silent, r3=silent, r4=silent, r9=silent)
-        self.assertFalse(self.may_remove(roster))
+        members = make_members(r2=silent, r3=silent, r4=silent, r9=silent)
+        self.assertFalse(self.may_remove(members))
 
     def test_heartbeat_from_before_the_loss_does_not_count(self):
-        roster = make_roster(r2=(SETTLED, 3_900.0), r9=(SETTLED, 0.0))
-        self.assertFalse(self.may_remove(roster))
+        members = make_members(r2=(SETTLED, 3_900.0), r9=(SETTLED, 0.0))
+        self.assertFalse(self.may_remove(members))
 
     def test_routers_that_joined_later_do_not_help_a_cut_off_minority(self):
         """Guards against counting routers that have no vote on the removal.
@@ -153,24 +153,24 @@
         the platform too, and these three hear each other.  They are three of five,
         but only one of the three that vote on the removal.
         """
-        roster = make_roster(r2=(SETTLED, 0.0), r3=(SETTLED, 0.0))
+        members = make_members(r2=(SETTLED, 0.0), r3=(SETTLED, 0.0))
         for name in ("r5", "r6"):
             newcomer = make_member(name, since=SEEN + 1)
-            roster = roster.hear(newcomer, OUT, 4_500.0)
-        self.assertFalse(roster.is_platform_down(SEEN, 4_600.0))
+            members = members.hear(newcomer, OUT, 4_500.0)
+        self.assertFalse(members.is_platform_down(SEEN, 4_600.0))
 
     def test_router_that_renews_only_recently_does_not_count(self):
         recent = HeartbeatStatus(renewing_for=LEASE)
-        roster = make_roster(r2=(recent, 4_500.0), r9=(SETTLED, 0.0))
-        self.assertFalse(self.may_remove(roster))
+        members = make_members(r2=(recent, 4_500.0), r9=(SETTLED, 0.0))
+        self.assertFalse(self.may_remove(members))
 
     def test_routers_that_joined_later_do_not_outvote_a_cut_off_majority(self):
-        roster = make_roster(r2=(SETTLED, 0.0), r9=(SETTLED, 0.0))
+        members = make_members(r2=(SETTLED, 0.0), r9=(SETTLED, 0.0))
         for name in ("r5", "r6", "r7"):
             newcomer = make_member(name, since=101)
-            roster = roster.hear(newcomer, SETTLED, 4_500.0)
-        self.assertFalse(self.may_remove(roster))
+            members = members.hear(newcomer, SETTLED, 4_500.0)
+        self.assertFalse(self.may_remove(members))
 
     def test_member_that_was_heard_within_a_lease_is_not_removed(self):
-        roster = make_roster(r2=(SETTLED, 4_500.0), r9=(SETTLED, 1_500.0))
-        self.assertFalse(self.may_remove(roster))
+        members = make_members(r2=(SETTLED, 4_500.0), r9=(SETTLED, 1_500.0))
+        self.assertFalse(self.may_remove(members))
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -73,7 +73,7 @@
                 holder,
                 self.clock,
                 journal,
-                allotter.wallet,
+                allotter.balances,
                 MarkLog(HISTORY),
                 boot=holder,
                 read_wall=self.clock.now,
@@ -90,7 +90,7 @@
         for one in self.reservations.values():
             if one.allocators.set_routers(set(self.reservations)):
                 one.allotter.found_at = self.clock.now()
-            one.wallet.set_keepers(one.allocators)
+            one.balances.set_allocators(one.allocators)
 
     async def _run(self, node: str) -> None:
         await self.allotters[node].run()
@@ -105,11 +105,11 @@
         while True:
             await asyncio.sleep(_SWEEP_INTERVAL_S)
             if self.recording:
-                one.wallet.set_provable(self.recorders[node].can_prove_age())
-            for gift, allocator in one.return_idle(self._find_keeper(one)):
+                one.balances.set_provable(self.recorders[node].can_prove_age())
+            for gift, allocator in one.return_idle(self._find_allocator(one)):
                 self._send(allocator, gift)
 
-    def _find_keeper(self, one: Reservations):
+    def _find_allocator(self, one: Reservations):
         def find(name: str) -> tuple[str, str] | None:
             present = [
                 k for k in one.allocators.list_others(name) if k in self.allotters
@@ -124,7 +124,7 @@
         if allocator not in self.reservations:
             return False
         asker = self.reservations[node]
-        keeping = asker.allocators.is_keeper(name)
+        keeping = asker.allocators.is_allocator(name)
         ask = Ask(asker.allotter.holder, number, node, name, tokens, keeping)
         self.asks.append((allocator, ask))
         loop = asyncio.get_running_loop()
@@ -158,7 +158,7 @@
     def kill(self, node: str) -> None:
         for task in self.tasks.pop(node):
             task.cancel()
-        self.spent += self.allotters.pop(node).wallet.balances[POUNDS].settled
+        self.spent += self.allotters.pop(node).balances.balances[POUNDS].settled
         del self.reservations[node]
         asyncio.get_running_loop().call_later(_DETECTION_S, self._note_routers)
 
@@ -173,7 +173,7 @@
         return True
 
     def count_spent(self) -> int:
-        live = [a.wallet.balances[POUNDS].settled for a in self.allotters.values()]
+        live = [a.balances.balances[POUNDS].settled for a in self.allotters.values()]
         return self.spent + sum(live)
 
     def read(self):
--- a/tests/router/test_acceptance.py
+++ b/tests/router/test_acceptance.py
@@ -40,7 +40,7 @@
         return await wait_accepted(self.fleet.platform, clock, newest, timeout)
 
     def grant(self, name):
-        budget = self.fleet.nodes[name].gate.catalogue.budgets.get("pounds")
+        budget = self.fleet.nodes[name].access_control.catalogue.budgets.get("pounds")
         return budget.grant if budget else None
 
     async def test_accepted_is_in_force_at_once_everywhere(self):
@@ -121,7 +121,7 @@
         self.fleet.cut_peers("r1")
         await wait_until(
             lambda: (
-                len(self.fleet.nodes["r1"].fleet.roster.lost(self.fleet.clock.now()))
+                len(self.fleet.nodes["r1"].fleet.members.lost(self.fleet.clock.now()))
                 == 2
             )
         )
--- a/tests/router/test_agreement.py
+++ b/tests/router/test_agreement.py
@@ -87,11 +87,9 @@
         await self.declare_during_partition()
         common = find_homes(CHANGED, OLD) & find_homes(CHANGED, NEW)
         self.assertLessEqual(self.list_used_engines("r1"), common)
-        roster = self.fleet.nodes["r1"].fleet
-        await wait_until(lambda: "r3" not in roster.roster.member_statuses)
-        await wait_until(
-            lambda: roster.find_common_revision() == roster.member.revision
-        )
+        fleet = self.fleet.nodes["r1"].fleet
+        await wait_until(lambda: "r3" not in fleet.members.member_statuses)
+        await wait_until(lambda: fleet.find_common_revision() == fleet.member.revision)
         other = next(f"d{n}" for n in range(99) if "e5" in find_homes(f"d{n}", NEW))
         await wait_until(lambda: "e5" in self.list_used_engines("r1", other))
 
@@ -105,4 +103,4 @@
         await wait_until(lambda: newcomer.fleet.member.revision > 0)
         self.assertFalse(newcomer.is_ready())
         await wait_until(newcomer.is_ready)
-        self.assertNotIn("r3", newcomer.fleet.roster.member_statuses)
+        self.assertNotIn("r3", newcomer.fleet.members.member_statuses)
--- a/tests/router/test_claimed.py
+++ b/tests/router/test_claimed.py
@@ -40,8 +40,8 @@
         would repeat the key and the order would run twice.
         """
         failing = AnvilshiftError(BUDGET_UNREACHABLE)
-        treasury = self.fleet.nodes[0].treasury
-        with mock.patch.object(treasury, "settle", side_effect=failing):
+        budgets = self.fleet.nodes[0].budgets
+        with mock.patch.object(budgets, "settle", side_effect=failing):
             self.assertEqual(read_code(await self.fleet.book("k")), (4005, "ran"))
         again = await self.fleet.book("k", router=1)
         self.assertEqual(read_code(again)[1], "ran")
@@ -163,7 +163,9 @@
         self.assertEqual(self.ran, 1)
 
     async def test_order_that_never_left_may_be_sent_again(self):
-        address = self.fleet.nodes[0].gate.catalogue.groups["ss"].engines[0].address
+        address = (
+            self.fleet.nodes[0].access_control.catalogue.groups["ss"].engines[0].address
+        )
         await self.fleet.service.close()
         answer = await self.fleet.book("k")
         self.assertEqual(read_code(answer)[1], "not run")
--- a/tests/router/test_crashes.py
+++ b/tests/router/test_crashes.py
@@ -88,7 +88,7 @@
         await wait_until(lambda: not node.dispatcher._state.partitioned)
         self.fleet.cut_from_platform("r3")
         self.fleet.cut_peers("r3")
-        await wait_until(lambda: "r3" not in node.fleet.roster.member_statuses)
+        await wait_until(lambda: "r3" not in node.fleet.members.member_statuses)
         await asyncio.sleep(2 * HEARTBEAT / SECOND)
         self.assertTrue(node.dispatcher._state.partitioned)
         await asyncio.sleep(LOST_ROUTER_TIMEOUT / SECOND)
--- a/tests/router/test_permits.py
+++ b/tests/router/test_permits.py
@@ -29,11 +29,11 @@
         self.dispatcher = Dispatcher(DispatchSettings(), random.Random(name))
         self.loop = DispatchLoop(self.dispatcher, fleet.clock)
         self.member = Member(name, f"{name}-1", name, name, name, "north")
-        self.roster = MemberTable(5_000.0)
+        self.members = MemberTable(5_000.0)
         telemetry = Telemetry(exported=False)
         sources = PermitSources(
             self.member,
-            lambda: self.roster,
+            lambda: self.members,
             self,
             self.loop,
             telemetry,
@@ -56,7 +56,7 @@
         now = self.fleet.clock.now()
         for other in self.fleet.routers.values():
             if other is not self and not {self.name, other.name} & self.fleet.cut:
-                self.roster = self.roster.hear(other.member, HeartbeatStatus(), now)
+                self.members = self.members.hear(other.member, HeartbeatStatus(), now)
         self.permits.note_routers()
 
     async def ask(self, candidates, deadline: float) -> bool:
--- a/tests/router/test_returning.py
+++ b/tests/router/test_returning.py
@@ -48,7 +48,7 @@
         await nodes.platform.put("EngineGroup", "models", GROUP, 0)
         await nodes.start("r1")
         node = nodes.nodes["r1"]
-        await wait_until(lambda: "e1" in node.departing.leaving)
+        await wait_until(lambda: "e1" in node.leaving_targets.leaving)
         sent = []
         act = node.dispatch.act
 
@@ -65,7 +65,7 @@
         self.assertEqual(sent, ["e2"])
         down.clear()
         await asyncio.sleep(1)
-        self.assertNotIn("e1", node.departing.leaving)
+        self.assertNotIn("e1", node.leaving_targets.leaving)
         self.assertLessEqual(sent.count("e1"), 1)
         await nodes.close()
 
--- a/tests/router/test_runs.py
+++ b/tests/router/test_runs.py
@@ -294,8 +294,8 @@
 
     async def test_complete_answer_with_failed_bill_has_fate_ran(self):
         failing = AnvilshiftError(BUDGET_UNREACHABLE)
-        treasury = self.fleet.nodes[0].treasury
-        with mock.patch.object(treasury, "settle", side_effect=failing):
+        budgets = self.fleet.nodes[0].budgets
+        with mock.patch.object(budgets, "settle", side_effect=failing):
             answer = await self.fleet.chat("tank")
         self.assertEqual(read_code(answer), (4005, "ran"))
 
--- a/tests/router/test_treasury.py
+++ b/tests/router/test_treasury.py
@@ -35,26 +35,26 @@
 
     def make(self, name: str) -> RouterBudgets:
         view = self.store.view(name)
-        treasury = RouterBudgets(view, VirtualClock(), f"{name}-a", SPACING)
-        treasury.configure({"pounds": self.budget})
+        budgets = RouterBudgets(view, VirtualClock(), f"{name}-a", SPACING)
+        budgets.configure({"pounds": self.budget})
 
         async def ask(account: str) -> None:
-            others = [t for t in self.treasuries if t is not treasury]
+            others = [t for t in self.treasuries if t is not budgets]
             await asyncio.gather(*(t.give_back(account) for t in others))
 
-        treasury.ask_peers = ask
-        return treasury
+        budgets.ask_peers = ask
+        return budgets
 
     async def open(self) -> None:
         await ledgers.top_up(self.store, "pounds", "invoice", self.tokens)
-        for treasury in self.treasuries:
-            treasury.start()
+        for budgets in self.treasuries:
+            budgets.start()
 
     async def spend(
-        self, treasury: RouterBudgets, key: str, tokens: int, **more
+        self, budgets: RouterBudgets, key: str, tokens: int, **more
     ) -> None:
-        await treasury.reserve("pounds", key, tokens)
-        await treasury.settle("pounds", key, "kosice", tokens, **more)
+        await budgets.reserve("pounds", key, tokens)
+        await budgets.settle("pounds", key, "kosice", tokens, **more)
 
     @property
     def account(self):
@@ -147,7 +147,7 @@
         """
         bank = Bank()
         await bank.open()
-        treasury = bank.treasuries[0]
+        budgets = bank.treasuries[0]
         await ledgers.top_up(bank.store, "drums", "invoice", 500)
 
         def overspend(body):
@@ -157,10 +157,10 @@
             return body
 
         await update(bank.store, LEDGER_KIND, LEDGER_NAME, overspend)
-        error = await self.refused(bank.spend(treasury, "a", 10))
+        error = await self.refused(bank.spend(budgets, "a", 10))
         self.assertEqual(error.code, BUDGET_FROZEN)
-        await treasury.reserve("drums", "b", 10)
-        await treasury.settle("drums", "b", "counter", 10)
+        await budgets.reserve("drums", "b", 10)
+        await budgets.settle("drums", "b", "counter", 10)
 
     @virtual
     async def test_last_tokens_are_within_reach_of_every_router(self):
@@ -171,8 +171,8 @@
         """
         bank = Bank(routers=5, tokens=1_000, allowance=100)
         await bank.open()
-        for treasury in bank.treasuries:
-            await bank.spend(treasury, f"first-{id(treasury)}", 10)
+        for budgets in bank.treasuries:
+            await bank.spend(budgets, f"first-{id(budgets)}", 10)
         for number in range(9):
             await bank.spend(bank.treasuries[0], f"k{number}", 100)
         self.assertEqual(bank.account.spent, 950)
@@ -232,13 +232,11 @@
         """
         bank = Bank(allowance=50)
         await bank.open()
-        treasury = bank.treasuries[0]
-        await treasury.reserve("pounds", "a", 80)
+        budgets = bank.treasuries[0]
+        await budgets.reserve("pounds", "a", 80)
         bank.store.faults.outage = True
         started_at = VirtualClock().now()
-        settling = treasury.settle(
-            "pounds", "a", "kosice", 80, until=started_at + 3_000
-        )
+        settling = budgets.settle("pounds", "a", "kosice", 80, until=started_at + 3_000)
         error = await self.refused(settling)
         self.assertEqual(error.code, NOT_RECORDED)
         self.assertLess(VirtualClock().now(), started_at + 3_000)
@@ -251,15 +249,15 @@
         """A platform that answers only after seconds must not delay an answer."""
         bank = Bank()
         await bank.open()
-        treasury = bank.treasuries[0]
-        await treasury.reserve("pounds", "a", 80)
+        budgets = bank.treasuries[0]
+        await budgets.reserve("pounds", "a", 80)
 
         async def wait(caller, verb):
             await asyncio.sleep(5)
 
         bank.store.faults.after = wait
         started_at = VirtualClock().now()
-        await treasury.settle("pounds", "a", "kosice", 80)
+        await budgets.settle("pounds", "a", "kosice", 80)
         self.assertLess(VirtualClock().now() - started_at, 500)
 
     @virtual
@@ -267,12 +265,12 @@
         """Writes whose answers were lost must not bill or close twice."""
         bank = Bank()
         await bank.open()
-        treasury = bank.treasuries[0]
+        budgets = bank.treasuries[0]
         for number in range(5):
             bank.store.faults.lose_answers = 1
-            await bank.spend(treasury, f"k{number}", 20)
+            await bank.spend(budgets, f"k{number}", 20)
         bank.store.faults.lose_answers = 1
-        await treasury.close()
+        await budgets.close()
         self.assertEqual((bank.account.spent, bank.account.free), (100, 900))
 
     @virtual
@@ -328,10 +326,10 @@
         """
         bank = Bank(routers=3, tokens=300, allowance=0)
         await bank.open()
-        for treasury in bank.treasuries:
-            await treasury.reserve("pounds", "crumb", 90)
-        for treasury in bank.treasuries:
-            treasury.release("pounds", "crumb")
+        for budgets in bank.treasuries:
+            await budgets.reserve("pounds", "crumb", 90)
+        for budgets in bank.treasuries:
+            budgets.release("pounds", "crumb")
         work = [t.reserve("pounds", "k", 250) for t in bank.treasuries]
         results = await asyncio.gather(*work, return_exceptions=True)
         self.assertEqual(
@@ -358,9 +356,9 @@
         """
         bank = Bank()
         await bank.open()
-        treasury = bank.treasuries[0]
-        await treasury.reserve("pounds", "a", 80)
+        budgets = bank.treasuries[0]
+        await budgets.reserve("pounds", "a", 80)
         bank.store.faults.after = lambda caller, verb: asyncio.sleep(0.3)
         until = VirtualClock().now() + 200
-        await treasury.settle("pounds", "a", "kosice", 80, until=until)
+        await budgets.settle("pounds", "a", "kosice", 80, until=until)
         self.assertLess(VirtualClock().now(), until)
--- a/tests/router/test_witnesses.py
+++ b/tests/router/test_witnesses.py
@@ -29,13 +29,13 @@
         self.copies = {name: BillCopies(f"{name}-a") for name in NAMES}
 
     def make(self, name):
-        roster = MemberTable(5_000.0)
+        members = MemberTable(5_000.0)
         for other in NAMES:
             if other != name:
-                roster = roster.hear(
+                members = members.hear(
                     make_member(other), HeartbeatStatus(), self.clock.now()
                 )
-        return BillCopyHolders(self, self.clock, make_member(name), lambda: roster)
+        return BillCopyHolders(self, self.clock, make_member(name), lambda: members)
 
     async def keep(self, address, request):
         name = address.removeprefix("peer-")
