--- a/anvilshift/core/backlog.py
+++ b/anvilshift/core/backlog.py
@@ -87,7 +87,9 @@
         latest = self._state.due(entry.work) - safe
         if not pool.kind.durations.is_fresh(now):
             latest = entry.work.deadline
-        self._state.timers.at(max(now, latest), lambda at: self._expire(entry, at))
+        self._state.timers.schedule(
+            max(now, latest), lambda at: self._expire(entry, at)
+        )
         return []
 
     def _expire(self, entry: Entry, now: Millis) -> Actions:
@@ -96,8 +98,8 @@
         if found is None or found[0] is not entry or not entry.waits:
             return []
         if entry.work.deadline <= now:
-            return [self.give_up(entry, PAST_DEADLINE)]
-        return [self.give_up(entry, OVERLOADED, "no slot came free in time")]
+            return [self.refuse_waiting(entry, PAST_DEADLINE)]
+        return [self.refuse_waiting(entry, OVERLOADED, "no slot came free in time")]
 
     def _drop_least_valuable(self) -> Refuse:
         """Drop the least valuable work of the lowest priority from a full queue."""
@@ -108,9 +110,9 @@
             if queue.count
         ]
         dropped = min(queues, key=lambda item: item[:3])[3].find_least_valuable()
-        return self.give_up(dropped, OVERLOADED, "queue is full")
+        return self.refuse_waiting(dropped, OVERLOADED, "queue is full")
 
-    def give_up(self, entry: Entry, code: Code, detail: str = "") -> Refuse:
+    def refuse_waiting(self, entry: Entry, code: Code, detail: str = "") -> Refuse:
         """Remove waiting work from its queue and refuse it."""
         _, pool = self.entries.pop(entry.work.identity)
         pool.find_queues(entry).remove(entry)
--- a/anvilshift/core/balances.py
+++ b/anvilshift/core/balances.py
@@ -43,7 +43,7 @@
     False
     >>> from anvilshift.core.allotments import Allotment, Share
     >>> held = Allotment(1_600, shares={"r1": Share(100, 0)})
-    >>> balances.take(Allotments({"pounds": held}), now=1.0)
+    >>> balances.apply_allotments(Allotments({"pounds": held}), now=1.0)
     >>> balances.reserve("pounds", "a", 60, now=1.0)
     True
     >>> balances.settle("pounds", "a", 25, now=2.0)
@@ -85,7 +85,7 @@
         balance = self.balances.get(name)
         return balance is not None and balance.is_depleted(now)
 
-    def give_up(self, name: str, key: str) -> None:
+    def cancel_waiting(self, name: str, key: str) -> None:
         """Remove a request that was waiting for tokens."""
         self.balances[name].waiting.pop(key, None)
 
@@ -126,7 +126,7 @@
                 balance.ceiling = min(balance.ceiling, requests[name].ceiling)
         return requests
 
-    def take(
+    def apply_allotments(
         self, allotments: Allotments, now: Millis, known_for: Millis = FREE_KNOWN_FOR
     ) -> None:
         """Store the allotments after a write of this router took effect.
@@ -235,7 +235,7 @@
                 break
         return balance.find_wait(tokens, now)
 
-    def receive(self, name: str, tokens: int) -> None:
+    def credit(self, name: str, tokens: int) -> None:
         """Add tokens that another router transferred."""
         if name in self.balances:
             self.balances[name].settled -= tokens
--- a/anvilshift/core/blame.py
+++ b/anvilshift/core/blame.py
@@ -52,7 +52,7 @@
     --------
     >>> blame_book = CrashBlame()
     >>> for name in ("e1", "e2", "e3"):
-    ...     _ = blame_book.broke("poison", name, now=0.0)
+    ...     _ = blame_book.record_broken_answer("poison", name, now=0.0)
     ...     blame_book.lost(name, now=100.0)
     ['poison']
     ['poison']
@@ -65,7 +65,7 @@
     _broken_answers: dict[str, list[tuple[str, Millis]]] = field(default_factory=dict)
     _records: OrderedDict[str, _Record] = field(default_factory=OrderedDict)
 
-    def broke(self, content: str, target: str, now: Millis) -> list[str]:
+    def record_broken_answer(self, content: str, target: str, now: Millis) -> list[str]:
         """Record that a target broke off an answer.
 
         Returns
@@ -100,10 +100,10 @@
         broken = self._broken_answers.pop(target, [])
         blamed = self._list_recent(broken, now)
         for content in blamed:
-            self.hear(content, target, now)
+            self.record_crash(content, target, now)
         return blamed
 
-    def hear(self, content: str, target: str, now: Millis) -> None:
+    def record_crash(self, content: str, target: str, now: Millis) -> None:
         """Record that a content is blamed for a target's crash, here or elsewhere."""
         self.exposure.crashed(content, target, now)
         record = self._records.setdefault(content, _Record())
--- a/anvilshift/core/claims.py
+++ b/anvilshift/core/claims.py
@@ -63,7 +63,7 @@
     state: ClaimState = ClaimState.OPEN
     answer: Answer | None = None
 
-    def finish(self, answer: Answer | None) -> "Claim":
+    def mark_done(self, answer: Answer | None) -> "Claim":
         """Return the claim for work that ran, with its answer if that is stored."""
         return replace(self, state=ClaimState.DONE, answer=answer)
 
@@ -71,7 +71,7 @@
         """Return the claim for work that was provably never sent."""
         return replace(self, state=ClaimState.VOID)
 
-    def lose(self) -> "Claim":
+    def mark_lost(self) -> "Claim":
         """Return the claim for work that was sent and whose outcome is unknown."""
         return replace(self, state=ClaimState.LOST)
 
--- a/anvilshift/core/departures.py
+++ b/anvilshift/core/departures.py
@@ -30,10 +30,11 @@
 
     Examples
     --------
-    >>> departures = Departures().take(HOST_LIST, {"e1"}).take(REPORT, {"e1", "e2"})
+    >>> departures = Departures().replace_source(HOST_LIST, {"e1"})
+    >>> departures = departures.replace_source(REPORT, {"e1", "e2"})
     >>> sorted(departures.leaving)
     ['e1', 'e2']
-    >>> sorted(departures.take(REPORT, set()).leaving)
+    >>> sorted(departures.replace_source(REPORT, set()).leaving)
     ['e1']
     """
 
@@ -52,7 +53,7 @@
         ]
         return frozenset().union(*known)
 
-    def take(self, source: str, targets: Iterable[str]) -> "Departures":
+    def replace_source(self, source: str, targets: Iterable[str]) -> "Departures":
         """Return the departures after replacing the whole list of a source."""
         return replace(self, signs={**self.signs, source: frozenset(targets)})
 
@@ -60,7 +61,7 @@
         """Return the departures after a source reported on one target."""
         old = self.signs.get(source, frozenset())
         new = old | {target} if leaving else old - {target}
-        return self if new == old else self.take(source, new)
+        return self if new == old else self.replace_source(source, new)
 
     def restrict_targets(
         self, sources: Iterable[str], targets: Set[str]
--- a/anvilshift/core/dispatcher.py
+++ b/anvilshift/core/dispatcher.py
@@ -64,7 +64,7 @@
     >>> dispatcher.configure([Target("e1", "north", slots=1)], now=0.0)
     []
     >>> work = Work("r1", "pounds", "advice", {"e1": 0}, 10, 20, deadline=1_000.0)
-    >>> dispatcher.arrive(work, now=0.0)
+    >>> dispatcher.add_request(work, now=0.0)
     [Send(identity='r1', target='e1', attempt=1, priority=0)]
     """
 
@@ -110,7 +110,7 @@
         Parameters
         ----------
         revision
-            Revision of the declarations; see `agree`.
+            Revision of the declarations; see `confirm_revision`.
         """
         declared = {target.name: target for target in targets}
         self._state.began = min(self._state.began, now)
@@ -128,13 +128,13 @@
             attempt.entry.work = self.renew(attempt.entry.work)
         return self._rebuild_pools(now)
 
-    def agree(self, revision: int, now: Millis) -> Actions:
+    def confirm_revision(self, revision: int, now: Millis) -> Actions:
         """Record the revision that every router has in force.
 
         Until all routers have a new revision in force, work is sent only to targets
         that its content maps to both before and after the change.
         """
-        ended = self._state.former.agree(revision, now)
+        ended = self._state.former.confirm_revision(revision, now)
         return self._rebuild_pools(now) if ended else []
 
     def _rebuild_pools(self, now: Millis) -> Actions:
@@ -228,7 +228,7 @@
         if view is None:
             return []
         if not view.limit.reported:
-            self._state.timers.at(
+            self._state.timers.schedule(
                 now + STALE_AFTER, lambda at: self._check_reports(view, at)
             )
         view.limit.report(report, now)
@@ -244,14 +244,14 @@
         """Return the targets whose waiting work lacks only a permit."""
         return self._rationing.list_permit_needs()
 
-    def permit(self, target: str, run: str, now: Millis) -> Actions:
+    def use_permit(self, target: str, run: str, now: Millis) -> Actions:
         """Use a permit to send one request to a rate-limited target."""
-        return self._rationing.permit(target, run, now)
+        return self._rationing.use_permit(target, run, now)
 
     def _check_reports(self, view: TargetView, now: Millis) -> Actions:
         """Stop using a target's reported load once its reports have stopped."""
         if not view.limit.expire(now):
-            self._state.timers.at(
+            self._state.timers.schedule(
                 now + STALE_AFTER, lambda at: self._check_reports(view, at)
             )
             return []
@@ -261,7 +261,7 @@
     def cache_event(self, event: CacheEvent, now: Millis) -> Actions:
         """Update the record of a target's prefix cache."""
         if event.target in self._state.views:
-            self._state.prefixes.take(event)
+            self._state.prefixes.apply_event(event)
         return []
 
     def crashed(
@@ -282,7 +282,7 @@
             Crashes of the target that are attributed to the content; 0 if it was only
             running there.
         """
-        self._state.quarantine.hear(content, target, now, age, times)
+        self._state.quarantine.record_crash_report(content, target, now, age, times)
 
     def record_lost_router(self, now: Millis) -> None:
         """Record that a router became unreachable without announcing a shutdown."""
@@ -298,9 +298,9 @@
         """
         return self._relocation.prepare(ask, now)
 
-    def settle(self, ask: Ask, agreed: bool, now: Millis) -> Actions:
+    def finish_relocation(self, ask: Ask, agreed: bool, now: Millis) -> Actions:
         """Finish a relocation, once it is known whether all routers agreed."""
-        return self._relocation.settle(ask, agreed, now)
+        return self._relocation.apply_outcome(ask, agreed, now)
 
     def list_only_targets(self, content: str) -> list[str]:
         """Return the only targets that may run a content; empty if any target may."""
@@ -312,7 +312,7 @@
 
     # Requests
 
-    def arrive(self, work: Work, now: Millis) -> Actions:
+    def add_request(self, work: Work, now: Millis) -> Actions:
         """Queue or send a new request, or refuse it."""
         if self._state.quarantine.is_quarantined(work.content, now):
             return [self._state.refuse_quarantined(work)]
@@ -362,7 +362,7 @@
             durations.add_answer_time(work, tokens, now - attempt.first, now)
         if attempt.counts:
             view.health.add_answer()
-        self._state.retries.earn()
+        self._state.retries.add_answer()
         self._state.quarantine.clear(work.content)
         self._state.refresh(view)
         return [
@@ -386,7 +386,7 @@
         name = view.target.name
         actions: Actions = []
         answer_begun = attempt.first is not None
-        announcement = self._state.quarantine.failed(
+        announcement = self._state.quarantine.record_failure(
             content, name, failure, attempt.sent, now, answer_begun
         )
         if announcement is not None:
--- a/anvilshift/core/former.py
+++ b/anvilshift/core/former.py
@@ -53,7 +53,7 @@
     >>> former.record_change({"e1": e1}, {"e1": e1, "e2": e2}, revision=7, now=0.0)
     >>> former.list_domains({"e1": e1, "e2": e2})
     [{'e1': 'north'}]
-    >>> former.agree(7, now=1.0)
+    >>> former.confirm_revision(7, now=1.0)
     True
     >>> former.list_domains({"e1": e1, "e2": e2})
     []
@@ -75,7 +75,7 @@
         if old and _map_domains(old) != _map_domains(new):
             self._pending_changes.append(_FormerSet(revision, now, dict(old)))
 
-    def agree(self, revision: int, now: Millis) -> bool:
+    def confirm_revision(self, revision: int, now: Millis) -> bool:
         """Record the revision that all routers have in force.
 
         Returns
--- a/anvilshift/core/grantstate.py
+++ b/anvilshift/core/grantstate.py
@@ -248,7 +248,9 @@
         # first bill is kept, because its answer may have ended already.
         self.pending.setdefault(bill.key, bill)
 
-    def take(self, grant: Grant, free: int, elsewhere: int, now: Millis) -> None:
+    def update_grant(
+        self, grant: Grant, free: int, elsewhere: int, now: Millis
+    ) -> None:
         """Store the grant and the totals that a commit returned."""
         if free > self.free or elsewhere != self.elsewhere:
             self.refusal = None
--- a/anvilshift/core/healthmonitor.py
+++ b/anvilshift/core/healthmonitor.py
@@ -38,7 +38,7 @@
     def _schedule_overdue_check(self, attempt: Attempt, now: Millis) -> None:
         expected = attempt.pool.kind.durations.first(attempt.entry.work.request_class)
         due = now + _OVERDUE_FACTOR * expected + _OVERDUE_MARGIN
-        self._state.timers.at(due, lambda at: self._check_overdue(attempt, at))
+        self._state.timers.schedule(due, lambda at: self._check_overdue(attempt, at))
 
     def compare(self, attempt: Attempt, span: Millis) -> None:
         """Add the latency of a first token to the health of its target.
@@ -63,7 +63,9 @@
         moved = self._move_to_other_target(attempt, now)
         if not moved:
             again = now + _OVERDUE_MARGIN
-            self._state.timers.at(again, lambda at: self._check_overdue(attempt, at))
+            self._state.timers.schedule(
+                again, lambda at: self._check_overdue(attempt, at)
+            )
         return [*actions, *moved]
 
     def _move_to_other_target(self, attempt: Attempt, now: Millis) -> Actions:
@@ -110,7 +112,9 @@
         view.note_outage(now)
         health.eject(now, self._state.rng)
         self._state.refresh(view)
-        self._state.timers.at(health.until, lambda at: self._start_probe(view, at))
+        self._state.timers.schedule(
+            health.until, lambda at: self._start_probe(view, at)
+        )
         return self._relocation.relocate_waiting(view, now)
 
     def _start_probe(self, view: TargetView, now: Millis) -> Actions:
--- a/anvilshift/core/holderaccounts.py
+++ b/anvilshift/core/holderaccounts.py
@@ -124,7 +124,7 @@
             free = outcome.free.get(name, 0)
             elsewhere = outcome.elsewhere.get(name, 0)
             try:
-                self.grant_states[name].take(grant, free, elsewhere, now)
+                self.grant_states[name].update_grant(grant, free, elsewhere, now)
             except InvariantError:
                 self.grant_states[name].frozen = True
         for name in outcome.frozen:
--- a/anvilshift/core/membership.py
+++ b/anvilshift/core/membership.py
@@ -87,14 +87,14 @@
     ----------
     seen
         Instant of the last renewal or heartbeat, whichever is later.
-    heard
+    last_heartbeat
         Instant of the last heartbeat; None if there was none.
     """
 
     member: Member
     seen: Millis
     heartbeat_status: HeartbeatStatus = field(default_factory=HeartbeatStatus)
-    heard: Millis | None = None
+    last_heartbeat: Millis | None = None
 
 
 @dataclass(frozen=True)
@@ -110,7 +110,7 @@
     Examples
     --------
     >>> member = Member("r2", "r2-a", "h2", "127.0.0.1:1", "127.0.0.1:2", "north")
-    >>> members = MemberTable(lease=5_000.0).record(member, now=0.0)
+    >>> members = MemberTable(lease=5_000.0).record_renewal(member, now=0.0)
     >>> members.lost(now=4_000.0), len(members.lost(now=6_000.0))
     ([], 1)
     """
@@ -118,7 +118,7 @@
     lease: Millis
     member_statuses: Mapping[str, MemberStatus] = field(default_factory=dict)
 
-    def record(self, member: Member, now: Millis) -> "MemberTable":
+    def record_renewal(self, member: Member, now: Millis) -> "MemberTable":
         """Return the roster updated with a member's new platform record."""
         old = self.member_statuses.get(member.name)
         if old is not None and old.member == member:
@@ -133,11 +133,11 @@
             self, member_statuses={**self.member_statuses, member.name: status}
         )
 
-    def hear(
+    def record_heartbeat(
         self, member: Member, heartbeat_status: HeartbeatStatus, now: Millis
     ) -> "MemberTable":
         """Return the roster updated with a member's heartbeat."""
-        status = MemberStatus(member, now, heartbeat_status, heard=now)
+        status = MemberStatus(member, now, heartbeat_status, last_heartbeat=now)
         return replace(
             self, member_statuses={**self.member_statuses, member.name: status}
         )
@@ -153,7 +153,7 @@
             s.member for s in self.member_statuses.values() if self._is_lost(s, now)
         ]
 
-    def present(self, now: Millis) -> list[MemberStatus]:
+    def list_alive(self, now: Millis) -> list[MemberStatus]:
         """Return the members with a renewal or heartbeat within one lease."""
         return [s for s in self.member_statuses.values() if not self._is_lost(s, now)]
 
@@ -182,7 +182,8 @@
         heard = [
             status
             for status in self.member_statuses.values()
-            if status.heard is not None and now - status.heard <= self.lease
+            if status.last_heartbeat is not None
+            and now - status.last_heartbeat <= self.lease
         ]
         if any(status.heartbeat_status.renewing_for > 0 for status in heard):
             return False
@@ -211,8 +212,8 @@
         voters = [
             s
             for s in known
-            if s.heard is not None
-            and s.heard >= since
+            if s.last_heartbeat is not None
+            and s.last_heartbeat >= since
             and s.heartbeat_status.renewing_for >= min_renewing
         ]
         counts_itself = own.since <= lost.seen
--- a/anvilshift/core/permits.py
+++ b/anvilshift/core/permits.py
@@ -93,7 +93,7 @@
     ----------
     meter
         Record of the requests that all routers sent to the target.
-    opens
+    opens_at
         Time before which no permit is granted.
 
     Attributes
@@ -113,7 +113,7 @@
     """
 
     def __init__(self, meter: RequestLog, opens: Millis = float("-inf")) -> None:
-        self.opens = opens
+        self.opens_at = opens
         self.issued = 0
         self.refused = 0
         self._meter = meter
@@ -137,7 +137,7 @@
         """Return when the next permit may be granted."""
         if rate is None:
             return now
-        return max(self.opens, self._meter.find_next(rate, now))
+        return max(self.opens_at, self._meter.find_next(rate, now))
 
     def ask(self, bid: Bid, rate: float | None, now: Millis) -> Verdict:
         """Grant, queue or refuse a bid.
@@ -167,7 +167,9 @@
             return self._refuse(bid, expected - now)
         return Verdict(bid.run, State.QUEUED, expected - now)
 
-    def serve(self, rate: float | None, now: Millis, silence: Millis) -> list[Verdict]:
+    def grant_due(
+        self, rate: float | None, now: Millis, silence: Millis
+    ) -> list[Verdict]:
         """Grant the permits that are due, and refuse bids that are too late.
 
         Parameters
@@ -258,9 +260,9 @@
     Examples
     --------
     >>> seen = RouterPresence()
-    >>> seen.note({"r1", "r2", "r3", "r4"}, leaving=set(), now=0.0)
+    >>> seen.update({"r1", "r2", "r3", "r4"}, leaving=set(), now=0.0)
     True
-    >>> seen.note({"r1"}, leaving={"r4"}, now=1_000.0)
+    >>> seen.update({"r1"}, leaving={"r4"}, now=1_000.0)
     True
     >>> round(seen.find_part(now=1_000.0), 2)
     0.33
@@ -275,7 +277,7 @@
         self._lost: dict[str, Millis] = {}
         self._issuers: dict[str, str] = {}
 
-    def note(
+    def update(
         self,
         routers: Collection[str],
         leaving: Collection[str],
--- a/anvilshift/core/prefixes.py
+++ b/anvilshift/core/prefixes.py
@@ -33,10 +33,10 @@
     Examples
     --------
     >>> index = PrefixIndex()
-    >>> index.take(CacheEvent("e1", 1, stored=("p1", "p2")))
+    >>> index.apply_event(CacheEvent("e1", 1, stored=("p1", "p2")))
     >>> index.matched("e1", ("p1", "p2", "p3"))
     2
-    >>> index.take(CacheEvent("e1", 3, evicted=("p2",)))
+    >>> index.apply_event(CacheEvent("e1", 3, evicted=("p2",)))
     >>> index.matched("e1", ("p1", "p2"))
     1
     """
@@ -46,7 +46,7 @@
         self._holders: dict[str, SampledSet] = {}
         self._sequences: dict[str, int] = {}
 
-    def take(self, event: CacheEvent) -> None:
+    def apply_event(self, event: CacheEvent) -> None:
         """Apply a cache event; ignore one that is older than the last applied."""
         last = self._sequences.get(event.target)
         if last is not None and event.sequence <= min(last, _FIRST_SEQUENCE):
--- a/anvilshift/core/quarantine.py
+++ b/anvilshift/core/quarantine.py
@@ -174,7 +174,7 @@
         """Record that a suspect runs at a target."""
         self._suspects[target] = content
 
-    def ended(self, content: str, target: str, ran: bool = True) -> None:
+    def record_end(self, content: str, target: str, ran: bool = True) -> None:
         """Record that an attempt ended at a target without a complete answer.
 
         Parameters
@@ -191,7 +191,7 @@
         self._exposure.clear(content)
         self._records.pop(content, None)
 
-    def failed(
+    def record_failure(
         self,
         content: str,
         target: str,
@@ -262,7 +262,7 @@
         self._add_crash(content, target, now)
         return True
 
-    def hear(
+    def record_crash_report(
         self,
         content: str,
         target: str,
--- a/anvilshift/core/relocation.py
+++ b/anvilshift/core/relocation.py
@@ -113,7 +113,7 @@
             return False
         return self._state.preparations.hold(ask.content, ask.ticket, now)
 
-    def settle(self, ask: Ask, agreed: bool, now: Millis) -> Actions:
+    def apply_outcome(self, ask: Ask, agreed: bool, now: Millis) -> Actions:
         """Apply the outcome of a relocation that this or another router proposed.
 
         Waiting work of the content is queued anew, or refused if it still has no
--- a/anvilshift/core/retrier.py
+++ b/anvilshift/core/retrier.py
@@ -79,7 +79,7 @@
     ) -> Actions:
         """Schedule work to be sent again after a pause."""
         self._backlog.entries[entry.work.identity] = entry, pool
-        self._state.timers.at(now + pause, lambda at: self._end_pause(entry, at))
+        self._state.timers.schedule(now + pause, lambda at: self._end_pause(entry, at))
         return []
 
     def _end_pause(self, entry: Entry, now: Millis) -> Actions:
--- a/anvilshift/core/retries.py
+++ b/anvilshift/core/retries.py
@@ -49,7 +49,7 @@
         self._reserve = reserve
         self._available = min(self._available, reserve)
 
-    def earn(self) -> None:
+    def add_answer(self) -> None:
         """Add the part of a retry that a complete answer earns."""
         self._available = min(self._reserve, self._available + _EARNED_PER_ANSWER)
 
--- a/anvilshift/core/sending.py
+++ b/anvilshift/core/sending.py
@@ -149,7 +149,7 @@
                 actions.append(self._refuse_quarantined(entry, pool))
             elif self._state.would_miss_deadline(entry, pool, now):
                 detail = "no slot came free in time"
-                actions.append(self._backlog.give_up(entry, OVERLOADED, detail))
+                actions.append(self._backlog.refuse_waiting(entry, OVERLOADED, detail))
             elif self._is_eligible(entry, view, now):
                 actions += self._send(entry, pool, view, now)
             else:
@@ -229,7 +229,7 @@
         attempt.pool.long_running -= attempt.entry.is_long
         attempt.view.limit.change(-1, now)
         name = attempt.view.target.name
-        self._state.quarantine.ended(attempt.entry.work.content, name, ran)
+        self._state.quarantine.record_end(attempt.entry.work.content, name, ran)
         return attempt
 
     def sweep(self, now: Millis) -> Actions:
--- a/anvilshift/core/sequencenumbers.py
+++ b/anvilshift/core/sequencenumbers.py
@@ -24,14 +24,14 @@
     Examples
     --------
     >>> numbers = SequenceNumbers()
-    >>> numbers.take(1), numbers.take(3), numbers.take(1), numbers.take(2)
+    >>> numbers.accept(1), numbers.accept(3), numbers.accept(1), numbers.accept(2)
     (True, True, False, True)
     """
 
     floor: int = 0
     seen: set[int] = field(default_factory=set)
 
-    def take(self, number: int) -> bool:
+    def accept(self, number: int) -> bool:
         """Record a number as received; return whether it is new."""
         if number <= self.floor or number in self.seen:
             return False
--- a/anvilshift/core/targetlimits.py
+++ b/anvilshift/core/targetlimits.py
@@ -94,7 +94,7 @@
         rank = -pool.priorities[name]
         return [PermitNeed(name, work.organisation, rank, work.deadline)]
 
-    def permit(self, name: str, run: str, now: Millis) -> Actions:
+    def use_permit(self, name: str, run: str, now: Millis) -> Actions:
         """Apply a granted permit to the work that is next for the target.
 
         Parameters
--- a/anvilshift/core/timers.py
+++ b/anvilshift/core/timers.py
@@ -19,7 +19,7 @@
     Examples
     --------
     >>> timers = Timers()
-    >>> timers.at(5.0, lambda now: [])
+    >>> timers.schedule(5.0, lambda now: [])
     >>> timers.first(), timers.run(now=6.0), timers.first()
     (5.0, [], None)
     """
@@ -28,7 +28,7 @@
         self._queue: list[tuple[Millis, int, Callback]] = []
         self._numbers = itertools.count()
 
-    def at(self, instant: Millis, callback: Callback) -> None:
+    def schedule(self, instant: Millis, callback: Callback) -> None:
         """Schedule a callback, which receives the time at which it is run."""
         heapq.heappush(self._queue, (instant, next(self._numbers), callback))
 
--- a/anvilshift/gateway/conversation.py
+++ b/anvilshift/gateway/conversation.py
@@ -96,12 +96,12 @@
             names.add(self.settings.name)
         leaving = {one.beat.router for one in peers if one.beat.leaving}
         self.limits.note_routers(names, leaving)
-        self.allotter.alone = not peers
+        self.allotter.has_no_peers = not peers
         known = self.allocators.routers
         if names and self.allocators.set_routers(names):
             self.allotter.balances.set_allocators(self.allocators)
             if names - known:
-                self.allotter.found_at = self.clock.now()
+                self.allotter.last_discovery = self.clock.now()
 
     def ask_for_tokens(
         self, allocator: str, number: int, organisation: str, tokens: int
@@ -170,7 +170,7 @@
         elif isinstance(message, Leaving):
             self._mark_leaving(message.target)
         elif isinstance(message, Blamed):
-            self.shared.blame.hear(message.content, message.target, now)
+            self.shared.blame.record_crash(message.content, message.target, now)
         elif isinstance(message, Ask):
             self._handle_ask(message)
         elif isinstance(message, Gift):
--- a/anvilshift/gateway/crashes.py
+++ b/anvilshift/gateway/crashes.py
@@ -114,7 +114,7 @@
             shared.on_target_lost(info.name)
         elif error.failure is Failure.BROKE_OFF and not error.answered:
             now = shared.clock.now()
-            for name in self._blame.broke(self._content, info.name, now):
+            for name in self._blame.record_broken_answer(self._content, info.name, now):
                 await self._probe(name)
         self.check()
 
--- a/anvilshift/gateway/limits.py
+++ b/anvilshift/gateway/limits.py
@@ -56,7 +56,7 @@
     hooks: LimitCallbacks = field(default_factory=LimitCallbacks)
 
     def __post_init__(self) -> None:
-        self.presence.note({self.own}, (), self.clock.now())
+        self.presence.update({self.own}, (), self.clock.now())
 
     # Limits and pauses announced by targets
 
@@ -177,7 +177,7 @@
     def note_routers(self, names: Collection[str], leaving: Collection[str]) -> None:
         """Update which routers are present and which of them are leaving."""
         before = self.presence.list_issuers()
-        if not self.presence.note(names or {self.own}, leaving, self.clock.now()):
+        if not self.presence.update(names or {self.own}, leaving, self.clock.now()):
             return
         for name in self._list_limited_targets():
             if self.find_issuer(name) != before.get(name):
--- a/anvilshift/gateway/node.py
+++ b/anvilshift/gateway/node.py
@@ -118,7 +118,7 @@
         if settings.history is not None:
             self.recorder.born = born
             self.allotter.bound_former_use = self.recorder.bound_former_use
-            self.recorder.end_record = self.allotter.end_round
+            self.recorder.end_record = self.allotter.notify_waiters
             self.reservations.recorder = self.recorder
         self.client = HttpClient()
         self.limits = RateLimits(
@@ -166,7 +166,7 @@
             _TARGETS_PACE,
             clock,
             journal,
-            self.targets.take,
+            self.targets.apply_change,
             self.targets.register.settle,
         )
         self.target_follower.scout = self.configuration_follower
@@ -308,7 +308,7 @@
 
     async def _record(self) -> None:
         """Record this router's use, once the share of its former process has ended."""
-        while self.settings.history is None or not self.allotter.begun:
+        while self.settings.history is None or not self.allotter.is_ready:
             await asyncio.sleep(_TICK_INTERVAL / SECOND)
         await self.recorder.run()
 
--- a/anvilshift/gateway/passing.py
+++ b/anvilshift/gateway/passing.py
@@ -228,12 +228,14 @@
         while True:
             choice = self._choose()
             self._check_predicted_wait(choice)
-            run = await self.turn.take(choice, self._compute_rank(choice), self.end)
+            run = await self.turn.request_permit(
+                choice, self._compute_rank(choice), self.end
+            )
             if run is None:
                 continue
             try:
                 if await self._attempt(choice, run):
-                    self.shared.retries.earn()
+                    self.shared.retries.add_answer()
                     self.crashes.clear()
                     return
             except AttemptError as error:
--- a/anvilshift/gateway/permits.py
+++ b/anvilshift/gateway/permits.py
@@ -108,7 +108,7 @@
         """Issue no permits for a while after this process was suspended."""
         opens = self.clock.now() + TAKEOVER_DELAY
         for permit_queue in self._permit_queues.values():
-            permit_queue.opens = opens
+            permit_queue.opens_at = opens
 
     # Requests of this router
 
@@ -272,7 +272,7 @@
         if permit_queue is None or target is None:
             return
         rate, now = self.book.find_rate(target), self.clock.now()
-        for verdict in permit_queue.serve(rate, now, _BID_TIMEOUT):
+        for verdict in permit_queue.grant_due(rate, now, _BID_TIMEOUT):
             self._answer(verdict)
         self._set_timer(name)
 
--- a/anvilshift/gateway/permitsession.py
+++ b/anvilshift/gateway/permitsession.py
@@ -49,7 +49,9 @@
         now = self._shared.clock.now()
         return {name: at - now for name, at in self._permits_expected_at.items()}
 
-    async def take(self, choice: Choice, rank: int, end: Millis) -> str | None:
+    async def request_permit(
+        self, choice: Choice, rank: int, end: Millis
+    ) -> str | None:
         """Return the name of an attempt that may be sent now; None if none may.
 
         After None the target is paused, or the expected wait or refusal is known, and
--- a/anvilshift/gateway/reserving.py
+++ b/anvilshift/gateway/reserving.py
@@ -119,12 +119,12 @@
     ) -> None:
         try:
             self._check_refusals(name, key, tokens, until)
-            while not self.allotter.begun and self.clock.now() < until:
+            while not self.allotter.is_ready and self.clock.now() < until:
                 await self._wait_round(until)
             while not await self._search(name, key, tokens, until, search):
                 search = self._begin_search(search.allocators)
         finally:
-            self.balances.give_up(name, key)
+            self.balances.cancel_waiting(name, key)
 
     def _check_refusals(self, name: str, key: str, tokens: int, until: Millis) -> None:
         known, now = self._refusals.get(name), self.clock.now()
@@ -293,7 +293,7 @@
         if not self.balances.reserve(name, key, ask.tokens, now):
             if ask.keeping:
                 # Another keeper asks as a last resort and draws for itself meanwhile.
-                self.balances.give_up(name, key)
+                self.balances.cancel_waiting(name, key)
                 return Lack(ask.holder, ask.number, name, False, _RETRY_DELAY)
             # The asking router asks the other keeper itself.
             search = self._begin_search(())
@@ -336,13 +336,13 @@
         if gift.holder != self.allotter.holder:
             return
         # A datagram may arrive twice; a gift counted twice would cause overspending.
-        if self._received.setdefault(gift.giver, SequenceNumbers()).take(gift.number):
-            self.balances.receive(gift.organisation, gift.tokens)
-            self.allotter.end_round()
+        if self._received.setdefault(gift.giver, SequenceNumbers()).accept(gift.number):
+            self.balances.credit(gift.organisation, gift.tokens)
+            self.allotter.notify_waiters()
 
     def apply_lack(self, lack: Lack) -> None:
         """Record that a keeper can't provide what was asked for."""
         search = self._searches.get(lack.number)
         if search is not None and lack.holder == self.allotter.holder:
             search.note(Answer(lack.certain, lack.wait))
-            self.allotter.end_round()
+            self.allotter.notify_waiters()
--- a/anvilshift/gateway/shares.py
+++ b/anvilshift/gateway/shares.py
@@ -75,7 +75,7 @@
         Name of this incarnation.
     bound_former_use
         Returns the former incarnation of this host with bounds on what it spent.
-    alone, found_at
+    has_no_peers, last_discovery
         Whether no other router is heard, and when one was last discovered.
     """
 
@@ -93,8 +93,8 @@
     failing: bool = False
     ended: dict[str, dict[str, SpendingBounds]] = field(default_factory=dict)
     writes_ended: int = 0
-    alone: bool = True
-    found_at: Millis = -1e12
+    has_no_peers: bool = True
+    last_discovery: Millis = -1e12
     _writes: int = 0
     _updated_at: Millis = -1e12
 
@@ -142,7 +142,7 @@
         self._wake.set()
 
     @property
-    def begun(self) -> bool:
+    def is_ready(self) -> bool:
         """Tell whether its share is set up and those of former incarnations ended."""
         return self._begun
 
@@ -167,7 +167,7 @@
                 await asyncio.sleep(_RETRY_PAUSE / SECOND)
             finally:
                 self.writes_ended += 1
-                self.end_round()
+                self.notify_waiters()
             await asyncio.sleep(_MIN_WRITE_INTERVAL / SECOND)
 
     async def _try_settle_former(self) -> None:
@@ -194,10 +194,10 @@
         if not self._begun:
             # Other routers may report what the former incarnation here spent.
             discovery_over = (
-                now - max(self._started_at, self.found_at) >= _DISCOVERY_DELAY
+                now - max(self._started_at, self.last_discovery) >= _DISCOVERY_DELAY
             )
             return now - self._started_at >= _MAX_FIRST_WRITE_DELAY or (
-                discovery_over and not self.alone
+                discovery_over and not self.has_no_peers
             )
         if self.balances.has_drawable_waiters(now):
             return True
@@ -209,7 +209,7 @@
         )
         return interval_over and self.balances.wants_change(now)
 
-    def end_round(self) -> None:
+    def notify_waiters(self) -> None:
         """Wake all callers of `wait_for_update`."""
         done, self._update_event = self._update_event, asyncio.Event()
         done.set()
@@ -249,7 +249,9 @@
         known_for = (
             _FREE_KNOWN_FOR_AT_START if self.has_just_started() else FREE_KNOWN_FOR
         )
-        self.balances.take(read_allotments(stored.body), self._updated_at, known_for)
+        self.balances.apply_allotments(
+            read_allotments(stored.body), self._updated_at, known_for
+        )
         self._log_shares(stored.version, list(requests))
         if self.failing:
             self.failing = False
@@ -269,7 +271,7 @@
             return False
         self._begun = True
         self._updated_at = self.clock.now()
-        self.balances.take(allotments, self._updated_at)
+        self.balances.apply_allotments(allotments, self._updated_at)
         return True
 
     def _is_former(self, holder: str) -> bool:
--- a/anvilshift/gateway/targetregistry.py
+++ b/anvilshift/gateway/targetregistry.py
@@ -37,7 +37,7 @@
     def __post_init__(self) -> None:
         self.register = Register(self.clock, self.remove)
 
-    def take(self, change: Change) -> None:
+    def apply_change(self, change: Change) -> None:
         """Apply a target's written or removed entry."""
         if change.body is None:
             self.register.drop(change.name)
--- a/anvilshift/router/billcopyholders.py
+++ b/anvilshift/router/billcopyholders.py
@@ -101,8 +101,8 @@
         heard = [
             status.member
             for status in members.member_statuses.values()
-            if status.heard is not None
-            and now - status.heard <= members.lease
+            if status.last_heartbeat is not None
+            and now - status.last_heartbeat <= members.lease
             and not status.member.leaving
         ]
         own = self._own.failure_domain
--- a/anvilshift/router/claimed.py
+++ b/anvilshift/router/claimed.py
@@ -96,7 +96,7 @@
     async def _run_once(
         self, job: Job, work: Callable[[], Awaitable[Answer]]
     ) -> Answer:
-        claim = await self.book.take(job)
+        claim = await self.book.acquire(job)
         if claim.state is ClaimState.DONE:
             if claim.answer is None:
                 raise AnvilshiftError(NOT_RECORDED, "it ran; its answer wasn't stored")
@@ -108,15 +108,15 @@
                 self.book.record_later(job.identity, claim.void())
                 raise
             if error.code.fate is ExecutionState.RAN:
-                self.book.record_later(job.identity, claim.finish(None))
+                self.book.record_later(job.identity, claim.mark_done(None))
                 raise
-            self.book.record_later(job.identity, claim.lose())
+            self.book.record_later(job.identity, claim.mark_lost())
             logging.warning("outcome unknown request=%s %s", job.identity, error)
             raise AnvilshiftError(OUTCOME_UNKNOWN, error.detail) from error
         except BaseException:
-            self.book.record_later(job.identity, claim.lose())
+            self.book.record_later(job.identity, claim.mark_lost())
             raise
         # The work ran.  The caller gets the answer even if the record fails, and the
         # claim stays in place, so that no router runs the work again.
-        await self.book.record(job.identity, claim.finish(answer))
+        await self.book.record(job.identity, claim.mark_done(answer))
         return answer
--- a/anvilshift/router/claims.py
+++ b/anvilshift/router/claims.py
@@ -82,7 +82,7 @@
         """Return the number of ended claims that the platform hasn't recorded yet."""
         return len(self._unrecorded)
 
-    async def take(self, job: Job) -> Claim:
+    async def acquire(self, job: Job) -> Claim:
         """Claim a job, or wait for the outcome of an earlier claim of its key.
 
         Returns
--- a/anvilshift/router/crashes.py
+++ b/anvilshift/router/crashes.py
@@ -69,14 +69,14 @@
         self.take_other: Callable[[CrashAnnouncement], None] = lambda news: None
         self._heartbeat_tasks: set[asyncio.Future[None]] = set()
 
-    def announce(self, news: CrashAnnouncement) -> None:
+    def report(self, news: CrashAnnouncement) -> None:
         """Report a crash to the other routers at once."""
         self._sent_at[news] = self._received_at[news] = self._clock.now()
         task = asyncio.ensure_future(self._beat())
         self._heartbeat_tasks.add(task)
         task.add_done_callback(self._heartbeat_tasks.discard)
 
-    def greet(self, incarnation: str) -> None:
+    def note_incarnation(self, incarnation: str) -> None:
         """Note a router's incarnation; after a new one, all crashes are sent again.
 
         A router that was killed and restarted no longer knows which contents crashed
@@ -110,7 +110,7 @@
             for news, age in ages.items()
         ]
 
-    def hear(self, crashes: Iterable[Crash]) -> None:
+    def receive(self, crashes: Iterable[Crash]) -> None:
         """Apply the crashes of a received heartbeat that are new here."""
         self._received_at = self._keep_recent(self._received_at, _REMEMBERED_FOR)
         for item in crashes:
--- a/anvilshift/router/dispatching.py
+++ b/anvilshift/router/dispatching.py
@@ -77,7 +77,7 @@
         """
         self._stop_callbacks[work.identity] = stop
         waiter = self._add_waiter(work.identity)
-        self.act(self.dispatcher.arrive(work, self._clock.now()))
+        self.act(self.dispatcher.add_request(work, self._clock.now()))
         return await self._wait(work.identity, waiter)
 
     async def retry(self, identity: str, failure: Failure) -> Send:
@@ -165,7 +165,7 @@
 
     async def _ask(self, ask: Ask) -> None:
         agreed = await self.relocate(ask)
-        self.act(self.dispatcher.settle(ask, agreed, self._clock.now()))
+        self.act(self.dispatcher.finish_relocation(ask, agreed, self._clock.now()))
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
--- a/anvilshift/router/fleet.py
+++ b/anvilshift/router/fleet.py
@@ -96,7 +96,7 @@
             lambda _, __: None
         )
         self.list_crash_reports: Callable[[], Iterable[Crash]] = tuple
-        self.greet: Callable[[str], None] = _ignore_incarnation
+        self.note_incarnation: Callable[[str], None] = _ignore_incarnation
         self.receive_crash_reports: Callable[[Iterable[Crash]], None] = lambda _: None
         self.on_members_changed: Callable[[], None] = lambda: None
         self.on_heartbeat: Callable[[], None] = lambda: None
@@ -145,7 +145,7 @@
         span, now = _PARTITIONED_AFTER * self._heartbeat, self._clock.now()
         member_statuses = self.members.member_statuses.values()
         return any(
-            status.heard is None or now - status.heard > span
+            status.last_heartbeat is None or now - status.last_heartbeat > span
             for status in member_statuses
         )
 
@@ -182,9 +182,9 @@
             # One unreadable record must not stop the watch of all other records.
             logging.error("router record unreadable name=%s %s", name, error)
             return
-        self.members = self.members.record(member, self._clock.now())
+        self.members = self.members.record_renewal(member, self._clock.now())
         self.on_members_changed()
-        self.greet(member.incarnation)
+        self.note_incarnation(member.incarnation)
 
     async def leave(self) -> None:
         """Tell all other routers that this one is leaving."""
@@ -318,20 +318,21 @@
 
     def list_relays(self) -> list[str]:
         """Return the peer addresses of routers that can relay calls to the platform."""
-        present = self.members.present(self._clock.now())
+        present = self.members.list_alive(self._clock.now())
         return [
             status.member.peer_address
             for status in present
-            if status.heartbeat_status.reaches_platform and status.heard is not None
+            if status.heartbeat_status.reaches_platform
+            and status.last_heartbeat is not None
         ]
 
     def _apply_heartbeat(self, beat: Heartbeat) -> None:
-        self.members = self.members.hear(
+        self.members = self.members.record_heartbeat(
             read_member(beat), read_heartbeat_status(beat), self._clock.now()
         )
         self.on_members_changed()
         self.receive_leaving_targets(beat.router, beat.leaving_targets)
-        self.greet(beat.incarnation)
+        self.note_incarnation(beat.incarnation)
         self.receive_crash_reports(beat.crashes)
 
     async def _keep_sending_heartbeats(self) -> None:
@@ -369,7 +370,7 @@
 
     def _list_present_addresses(self) -> list[str]:
         # Lost routers are left out, because each call to one waits for the timeout.
-        present = self.members.present(self._clock.now())
+        present = self.members.list_alive(self._clock.now())
         return [status.member.peer_address for status in present]
 
     async def _exchange_heartbeat(self, address: str) -> None:
--- a/anvilshift/router/leavingtargets.py
+++ b/anvilshift/router/leavingtargets.py
@@ -87,7 +87,7 @@
         }
         leaving = missing | {name for name, is_leaving in hosts.items() if is_leaving}
         targets = {t for host in leaving for t in self._hosts.get(host, ())}
-        self._replace_departures(self._departures.take(HOST_LIST, targets))
+        self._replace_departures(self._departures.replace_source(HOST_LIST, targets))
 
     def apply_load_report(self, report: LoadReport) -> None:
         """Update a target from its own report.
@@ -127,9 +127,11 @@
         if self._refusals[target] >= _REFUSALS_TO_LEAVE:
             self._replace_departures(self._departures.mark(REFUSED, target, True))
 
-    def hear(self, router: str, targets: Iterable[str]) -> None:
+    def receive_leaving(self, router: str, targets: Iterable[str]) -> None:
         """Replace the targets that another router reports as leaving."""
-        self._replace_departures(self._departures.take(f"router {router}", targets))
+        self._replace_departures(
+            self._departures.replace_source(f"router {router}", targets)
+        )
 
     def drop_other_routers(self, routers: Iterable[str]) -> None:
         """Drop reports of routers that are not among the given ones."""
--- a/anvilshift/router/node.py
+++ b/anvilshift/router/node.py
@@ -110,14 +110,14 @@
             world.clock,
             lambda: self.fleet.members,
         )
-        self.fleet.relocate = self.relocation_protocol.take
+        self.fleet.relocate = self.relocation_protocol.handle_relocate
         self.dispatch.relocate = self.relocation_protocol.ask
         self.dispatch.announce = self._announce
         self.dispatcher.renew = self.access_control.renew
         self.crashes.take_other = self._take_other_crash
         self.fleet.list_crash_reports = self.crashes.list_reports_to_send
-        self.fleet.receive_crash_reports = self.crashes.hear
-        self.fleet.greet = self.crashes.greet
+        self.fleet.receive_crash_reports = self.crashes.receive
+        self.fleet.note_incarnation = self.crashes.note_incarnation
         self.crashes.list_quarantined = lambda: self.dispatcher.list_crashes(
             self.clock.now()
         )
@@ -126,7 +126,7 @@
             bool(self.fleet.members.member_statuses)
         )
         self.fleet.list_leaving_targets = lambda: self.leaving_targets.told
-        self.fleet.receive_leaving_targets = self.leaving_targets.hear
+        self.fleet.receive_leaving_targets = self.leaving_targets.receive_leaving
         self.fleet.read_revision = lambda: self.follower.acknowledged
         self.fleet.read_received_revision = lambda: self.follower.seen
         self.settled = False
@@ -154,7 +154,7 @@
 
     def _lives(self, incarnation: str) -> bool:
         """Tell whether an incarnation is known to live."""
-        present = self.fleet.members.present(self.clock.now())
+        present = self.fleet.members.list_alive(self.clock.now())
         return any(s.member.incarnation == incarnation for s in present)
 
     def _make_member(self) -> Member:
@@ -204,7 +204,7 @@
             self.dispatcher.crashed(news.content, news.target, self.clock.now())
 
     def _announce(self, news: CrashAnnouncement) -> None:
-        self.crashes.announce(news)
+        self.crashes.report(news)
         logging.warning(
             "engine reached without an answer content=%s engine=%s blamed=%d",
             news.content,
@@ -240,7 +240,7 @@
                 s.heartbeat_status.in_flight,
                 s.member.leaving,
             )
-            for s in self.fleet.members.present(self.clock.now())
+            for s in self.fleet.members.list_alive(self.clock.now())
             if s.heartbeat_status.serving
         ]
         own = self.fleet.member
@@ -368,7 +368,7 @@
         self.dispatch.act(self.dispatcher.load_report(report, self.clock.now()))
 
     def _name_routers(self) -> set[str]:
-        present = self.fleet.members.present(self.clock.now())
+        present = self.fleet.members.list_alive(self.clock.now())
         return {status.member.name for status in present}
 
     def _take_crash(self, content: str, target: str, age: Millis) -> None:
@@ -386,8 +386,8 @@
         silent = self.fleet.is_partitioned() or self.permits.has_lost_routers()
         self.dispatcher.set_partitioned(silent)
         common = self.fleet.find_common_revision()
-        self.dispatch.act(self.dispatcher.agree(common, self.clock.now()))
-        present = self.fleet.members.present(self.clock.now())
+        self.dispatch.act(self.dispatcher.confirm_revision(common, self.clock.now()))
+        present = self.fleet.members.list_alive(self.clock.now())
         routers = 1 + sum(s.heartbeat_status.serving for s in present)
         if routers != self._routers:
             self._routers = routers
--- a/anvilshift/router/orders.py
+++ b/anvilshift/router/orders.py
@@ -127,7 +127,7 @@
         logging.info("orders taken over fencing=%d", self.ownership.fencing)
 
     def _list_present(self) -> list[Member]:
-        present = self._fleet.members.present(self._clock.now())
+        present = self._fleet.members.list_alive(self._clock.now())
         return [status.member for status in present]
 
     async def _reconcile(self, assignment: Assignment, until: Millis) -> None:
--- a/anvilshift/router/permits.py
+++ b/anvilshift/router/permits.py
@@ -75,7 +75,7 @@
         self._own_name = sources.own.name
         self._dispatcher = sources.dispatch.dispatcher
         self._attendance = RouterPresence()
-        self._attendance.note({self._own_name}, (), self._clock.now())
+        self._attendance.update({self._own_name}, (), self._clock.now())
         self._permit_queues: dict[str, PermitQueue] = {}
         self._request_tasks: dict[str, asyncio.Task[None]] = {}
         self._request_numbers = itertools.count()
@@ -90,14 +90,15 @@
         heard = {
             s.member.name
             for s in member_statuses
-            if s.heard is not None
-            and now - s.heard <= _CONNECTED_HEARTBEATS * self._sources.heartbeat
+            if s.last_heartbeat is not None
+            and now - s.last_heartbeat
+            <= _CONNECTED_HEARTBEATS * self._sources.heartbeat
         }
         leaving = {s.member.name for s in member_statuses if s.member.leaving}
         before = self._attendance.list_issuers()
         recorded = {s.member.name for s in member_statuses}
         present = (heard - leaving) | {self._own_name}
-        if not self._attendance.note(present, leaving, now, recorded):
+        if not self._attendance.update(present, leaving, now, recorded):
             return
         for name in list(self._permit_queues):
             if self._find_issuer(name) != before.get(name):
@@ -162,7 +163,7 @@
                 reply.state == State.GRANTED.value
                 and now - requested_at <= _MAX_REPLY_AGE
             ):
-                actions = self._dispatcher.permit(want.target, run, now)
+                actions = self._dispatcher.use_permit(want.target, run, now)
                 self._sources.dispatch.act(actions)
                 if not any(isinstance(action, Send) for action in actions):
                     # No waiting work can be sent to the target, so the next permit
--- a/anvilshift/router/relocationprotocol.py
+++ b/anvilshift/router/relocationprotocol.py
@@ -126,7 +126,7 @@
             return False
         return reply.prepared
 
-    def take(self, request: RelocateRequest) -> RelocateReply:
+    def handle_relocate(self, request: RelocateRequest) -> RelocateReply:
         """Carry out a step that another router requests."""
         ask, now = (
             Ask(request.content, request.target, request.ticket),
@@ -135,7 +135,7 @@
         if request.step == Step.PREPARE.value:
             return RelocateReply(prepared=self.dispatcher.prepare(ask, now))
         agreed = request.step == Step.COMMIT.value
-        self.dispatch.act(self.dispatcher.settle(ask, agreed, now))
+        self.dispatch.act(self.dispatcher.finish_relocation(ask, agreed, now))
         return RelocateReply(prepared=False)
 
     def close(self) -> None:
--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -47,9 +47,9 @@
     "fetch": (Patch("core/choosing.py", "_FETCH_LEAST = 300", "_FETCH_LEAST = 10**9"),),
     "ranks": (
         Patch(
-            "core/patience.py",
+            "core/timeouts.py",
             "    if elapsed + wait > rule.objective:",
-            "    return SHORT_RANK\n    if elapsed + wait > rule.objective:",
+            "    return SHORT_PRIORITY\n    if elapsed + wait > rule.objective:",
         ),
     ),
     "disturbance": (
@@ -65,7 +65,7 @@
             "if True:\n            return False",
         ),
     ),
-    "second-keeper": (Patch("core/keepers.py", "KEEPERS = 2", "KEEPERS = 1"),),
+    "second-keeper": (Patch("core/allocators.py", "KEEPERS = 2", "KEEPERS = 1"),),
     "records-of-use": (
         Patch(
             "platform/settings.py",
--- a/bench/load/baselines.py
+++ b/bench/load/baselines.py
@@ -31,7 +31,7 @@
     def set_routers(self, routers: int) -> None:
         """Take in how many routers share the targets."""
 
-    def arrive(self, work: Work, now: Millis) -> Actions:
+    def add_request(self, work: Work, now: Millis) -> Actions:
         """Take in a request."""
 
     def first_token(self, identity: str, now: Millis) -> Actions:
@@ -55,7 +55,7 @@
     def prepare(self, ask: Ask, now: Millis) -> bool:
         """Hold a content back that another router would send elsewhere."""
 
-    def settle(self, ask: Ask, agreed: bool, now: Millis) -> Actions:
+    def finish_relocation(self, ask: Ask, agreed: bool, now: Millis) -> Actions:
         """Take in whether a content goes to the target that was asked for."""
 
     def tick(self, now: Millis) -> Actions:
@@ -89,7 +89,7 @@
         self._next += 1
         return self._names[self._next % len(self._names)]
 
-    def arrive(self, work: Work, now: Millis) -> Actions:
+    def add_request(self, work: Work, now: Millis) -> Actions:
         """Take in a request."""
         return self._send(work, 1)
 
@@ -141,7 +141,7 @@
         """Hold nothing back."""
         return False
 
-    def settle(self, ask: Ask, agreed: bool, now: Millis) -> Actions:
+    def finish_relocation(self, ask: Ask, agreed: bool, now: Millis) -> Actions:
         """Take nothing in: this policy asks nobody."""
         return []
 
--- a/bench/load/cost.py
+++ b/bench/load/cost.py
@@ -52,7 +52,7 @@
             self.now + self._rng.uniform(50_000.0, 60_000.0),
             prefixes=(f"p{self._rng.randrange(1_000)}",),
         )
-        self._take(self._dispatcher.arrive(work, self.now))
+        self._take(self._dispatcher.add_request(work, self.now))
 
     def step(self) -> None:
         """Give one of each event."""
--- a/bench/load/thin.py
+++ b/bench/load/thin.py
@@ -45,7 +45,7 @@
     >>> dispatcher.configure([Target("e1", "north", slots=1)], now=0.0)
     []
     >>> work = Work("r1", "pounds", "advice", {"e1": 0}, 10, 20, deadline=1_000.0)
-    >>> dispatcher.arrive(work, now=0.0)
+    >>> dispatcher.add_request(work, now=0.0)
     [Send(identity='r1', target='e1', attempt=1, priority=0)]
     """
 
@@ -67,7 +67,7 @@
     def set_routers(self, routers: int) -> None:
         """Take in how many routers share the targets."""
 
-    def arrive(self, work: Work, now: Millis) -> Actions:
+    def add_request(self, work: Work, now: Millis) -> Actions:
         """Take in a request."""
         if len(self._queue) >= self._settings.queue_length:
             return [Refuse(work.identity, OVERLOADED, "queue is full", _RETRY_AFTER)]
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -62,7 +62,7 @@
     """Return the fleet as one of its routers sees it."""
     members = MemberTable(lease=5_000.0)
     for index in range(size):
-        members = members.record(make_member(index), 0.0)
+        members = members.record_renewal(make_member(index), 0.0)
     return members
 
 
@@ -73,7 +73,9 @@
     def work() -> None:
         heard = members
         for index in range(size):
-            heard = heard.hear(make_member(index), HeartbeatStatus(in_flight=10), 1.0)
+            heard = heard.record_heartbeat(
+                make_member(index), HeartbeatStatus(in_flight=10), 1.0
+            )
 
     return time_micros(work)
 
@@ -264,7 +266,7 @@
         for number in range(10):
             identity = f"r{number}"
             request = Work(identity, "o", "c", candidates, 100, 300, deadline=1e6)
-            dispatcher.arrive(request, 1.0)
+            dispatcher.add_request(request, 1.0)
             dispatcher.first_token(identity, 2.0)
             dispatcher.done(identity, 300, 3.0)
 
--- a/tests/core/test_balances.py
+++ b/tests/core/test_balances.py
@@ -12,7 +12,9 @@
     balances = Balances("r1")
     balances.configure({POUNDS: total}, now)
     shares = {"r1": Share(ceiling, 0)}
-    balances.take(Allotments({POUNDS: Allotment(total, 1, shares=shares)}), now)
+    balances.apply_allotments(
+        Allotments({POUNDS: Allotment(total, 1, shares=shares)}), now
+    )
     return balances
 
 
@@ -53,7 +55,7 @@
         self.assertTrue(giver.reserve(POUNDS, "r2/1", 50, 0.0))
         given = giver.transfer_reservation(POUNDS, "r2/1", 0.0)
         self.assertEqual(given, 50)
-        receiver.receive(POUNDS, given)
+        receiver.credit(POUNDS, given)
         together = giver.balances[POUNDS].ready + receiver.balances[POUNDS].ready
         self.assertEqual(together, 100)
 
@@ -123,7 +125,7 @@
     def test_a_router_that_is_no_keeper_returns_idle_tokens(self):
         balances = make_balances(ceiling=0)
         balances.balances[POUNDS].rank = None
-        balances.receive(POUNDS, 80)
+        balances.credit(POUNDS, 80)
         self.assertTrue(balances.reserve(POUNDS, "a", 60, 0.0))
         balances.settle(POUNDS, "a", 50, 10.0)
         self.assertEqual(balances.find_returnable(900.0), {})
@@ -148,7 +150,7 @@
             UseRecord("r1", "ip", 1.0, uses=balances.make_uses(1.0))
         )
         self.assertFalse(balances.must_record_use())
-        balances.receive(POUNDS, 500)
+        balances.credit(POUNDS, 500)
         self.assertEqual(balance.available(1.0), 1_500)
 
     def test_a_router_that_is_no_keeper_draws_only_when_no_keeper_answers(self):
@@ -208,10 +210,10 @@
     def test_exhaustion_is_certain_only_without_doubt(self):
         balances = make_balances(ceiling=0, total=100)
         known = Allotment(100, 1, closed=60, shares={"r2": Share(40, 40)})
-        balances.take(Allotments({POUNDS: known}), 0.0)
+        balances.apply_allotments(Allotments({POUNDS: known}), 0.0)
         self.assertTrue(balances.is_exhausted(POUNDS, 1))
         doubtful = Allotment(100, 1, closed=60, doubt=5, shares={"r2": Share(40, 40)})
-        balances.take(Allotments({POUNDS: doubtful}), 0.0)
+        balances.apply_allotments(Allotments({POUNDS: doubtful}), 0.0)
         self.assertFalse(balances.is_exhausted(POUNDS, 5))
         self.assertTrue(balances.is_exhausted(POUNDS, 6))
 
@@ -219,7 +221,7 @@
         balances = make_balances(ceiling=0, total=100)
         known = Allotment(100, 1, closed=100)
         balances.reserve(POUNDS, "a", 10, 0.0)
-        balances.take(Allotments({POUNDS: known}), 0.0)
+        balances.apply_allotments(Allotments({POUNDS: known}), 0.0)
         self.assertFalse(balances.wants_change(1_500.0))
         self.assertTrue(balances.wants_change(2_500.0))
 
@@ -233,7 +235,7 @@
         names = ("inns", POUNDS)
         balances.configure(dict.fromkeys(names, 1_000), 0.0)
         nearly_all = Allotment(1_000, 1, closed=950)
-        balances.take(Allotments(dict.fromkeys(names, nearly_all)), 0.0)
+        balances.apply_allotments(Allotments(dict.fromkeys(names, nearly_all)), 0.0)
         self.assertFalse(balances.reserve(POUNDS, "a", 60, 500.0))
         self.assertFalse(balances.has_drawable_waiters(500.0))
         self.assertTrue(balances.is_depleted(POUNDS, 500.0))
@@ -244,7 +246,7 @@
         balances.configure({POUNDS: 1_000}, 0.0)
         shares = {"r1": Share(40, 0)}
         known = Allotment(1_000, 1, closed=930, shares=shares)
-        balances.take(Allotments({POUNDS: known}), 0.0)
+        balances.apply_allotments(Allotments({POUNDS: known}), 0.0)
         # 40 tokens are held and 30 are free, enough for 60.
         self.assertFalse(balances.reserve(POUNDS, "a", 60, 500.0))
         self.assertTrue(balances.has_drawable_waiters(500.0))
@@ -253,7 +255,7 @@
         balances = Balances("r1")
         balances.configure({POUNDS: 1_000}, 0.0)
         known = Allotment(1_000, 1, closed=1_000)
-        balances.take(Allotments({POUNDS: known}), 0.0)
+        balances.apply_allotments(Allotments({POUNDS: known}), 0.0)
         balances.reserve(POUNDS, "a", 60, 500.0)
         self.assertFalse(balances.has_drawable_waiters(500.0))
         balances.configure({POUNDS: 2_000}, 600.0)
--- a/tests/core/test_blame.py
+++ b/tests/core/test_blame.py
@@ -10,7 +10,7 @@
         self.blame_book = CrashBlame()
 
     def crash(self, content: str, target: str, now: float) -> None:
-        self.blame_book.broke(content, target, now)
+        self.blame_book.record_broken_answer(content, target, now)
         self.blame_book.lost(target, now + 50.0)
 
     def test_two_crashes_are_not_enough(self):
@@ -27,9 +27,13 @@
 
     def test_first_target_is_checked_when_the_content_breaks_off_again(self):
         """Guards against a first crash that is never counted."""
-        self.assertEqual(self.blame_book.broke("poison", "e1", 0.0), [])
-        self.assertEqual(self.blame_book.broke("poison", "e2", 100.0), ["e1", "e2"])
-        self.assertEqual(self.blame_book.broke("poison", "e3", 9_000.0), [])
+        self.assertEqual(self.blame_book.record_broken_answer("poison", "e1", 0.0), [])
+        self.assertEqual(
+            self.blame_book.record_broken_answer("poison", "e2", 100.0), ["e1", "e2"]
+        )
+        self.assertEqual(
+            self.blame_book.record_broken_answer("poison", "e3", 9_000.0), []
+        )
 
     def test_content_reaches_at_most_three_targets_without_known_crashes(self):
         """Guards against losing a fourth target before any crash is detected."""
@@ -43,19 +47,19 @@
 
     def test_broken_answers_without_a_crash_do_not_make_content_poison(self):
         for target in ("e1", "e2", "e3", "e4"):
-            self.blame_book.broke("content", target, 0.0)
+            self.blame_book.record_broken_answer("content", target, 0.0)
         self.assertFalse(self.blame_book.is_poison("content", 10.0))
 
     def test_content_is_not_blamed_for_a_target_lost_much_later(self):
-        self.blame_book.broke("content", "e1", 0.0)
+        self.blame_book.record_broken_answer("content", "e1", 0.0)
         self.assertEqual(self.blame_book.lost("e1", 5_000.0), [])
 
     def test_crash_reports_of_other_routers_count_once_per_target(self):
         self.crash("poison", "e1", 0.0)
-        self.blame_book.hear("poison", "e2", 10.0)
-        self.blame_book.hear("poison", "e2", 11.0)
+        self.blame_book.record_crash("poison", "e2", 10.0)
+        self.blame_book.record_crash("poison", "e2", 11.0)
         self.assertFalse(self.blame_book.is_poison("poison", 12.0))
-        self.blame_book.hear("poison", "e3", 13.0)
+        self.blame_book.record_crash("poison", "e3", 13.0)
         self.assertTrue(self.blame_book.is_poison("poison", 14.0))
 
     def test_blame_ends_with_a_complete_answer_or_after_some_time(self):
--- a/tests/core/test_claims.py
+++ b/tests/core/test_claims.py
@@ -26,7 +26,7 @@
         self.assertEqual(judge(OPEN, other), Verdict.REUSED)
 
     def test_finished_work_is_answered_from_the_record(self):
-        done = OPEN.finish(Answer(201, "application/json", "{}"))
+        done = OPEN.mark_done(Answer(201, "application/json", "{}"))
         self.assertEqual(judge(done, Claim("digest", "r2", "t2", 0)), Verdict.ANSWER)
 
     def test_work_that_was_never_sent_may_be_claimed_again(self):
@@ -35,7 +35,7 @@
 
     def test_lost_work_is_not_waited_for(self):
         request = Claim("digest", "r2", "t2", at=0)
-        self.assertEqual(judge(OPEN.lose(), request), Verdict.LOST)
+        self.assertEqual(judge(OPEN.mark_lost(), request), Verdict.LOST)
 
 
 class EndTest(unittest.TestCase):
@@ -53,5 +53,5 @@
         self.assertEqual(end(None, OPEN.void()), OPEN.void())
 
     def test_recorded_answer_is_never_replaced(self):
-        done = OPEN.finish(Answer(201, "application/json", "{}"))
-        self.assertIsNone(end(done, OPEN.lose()))
+        done = OPEN.mark_done(Answer(201, "application/json", "{}"))
+        self.assertIsNone(end(done, OPEN.mark_lost()))
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -57,7 +57,7 @@
     def arrive(self, identity, organisation="org", **rest):
         rest.setdefault("candidates", self.candidates)
         work = make_work(identity, organisation, **rest)
-        return self.take(self.dispatcher.arrive(work, self.now))
+        return self.take(self.dispatcher.add_request(work, self.now))
 
     def finish(self, identity, span=100.0, tokens=10):
         del self.sent[identity]
@@ -283,7 +283,7 @@
             router.configure([Target("e1", "north", 8)], 0.0)
             router.load_report(LoadReport("e1", 0, 0, as_of=1.0), 2.0)
             for index in range(8):
-                actions = router.arrive(make_work(f"r{index}"), 3.0)
+                actions = router.add_request(make_work(f"r{index}"), 3.0)
                 sent += sum(isinstance(action, Send) for action in actions)
         self.assertLessEqual(sent, 16)
         self.assertGreaterEqual(sent, 4)
--- a/tests/core/test_dispatcher_poison.py
+++ b/tests/core/test_dispatcher_poison.py
@@ -56,7 +56,7 @@
         work = Work(
             name, "org", "x", dict.fromkeys(NAMES, 0), 10, 10, 1e9, content=content
         )
-        self.take(router, self.routers[router].arrive(work, self.now))
+        self.take(router, self.routers[router].add_request(work, self.now))
         return name
 
     def take(self, router, actions):
@@ -210,7 +210,7 @@
             fleet.take(1, other.leaving(down, fleet.now))
             for n in range(8):
                 work = Work(f"w{n}", "org", "x", {full: 0}, 10, 10, 1e9)
-                fleet.take(1, other.arrive(work, fleet.now))
+                fleet.take(1, other.add_request(work, fleet.now))
             fleet.run_poison([fleet.send(1, POISON)])
             self.assertEqual(sorted(set(fleet.lost)), lost)
 
--- a/tests/core/test_dispatcher_random.py
+++ b/tests/core/test_dispatcher_random.py
@@ -106,7 +106,7 @@
             idempotent=rng.random() < 0.7,
         )
         self.waiting.add(name)
-        self.take(self.dispatcher.arrive(work, self.now))
+        self.take(self.dispatcher.add_request(work, self.now))
 
     def cancel(self, name):
         self.waiting.discard(name)
--- a/tests/core/test_former.py
+++ b/tests/core/test_former.py
@@ -43,10 +43,10 @@
         first, second = {"e1": Target("e1", "north")}, {"e2": Target("e2", "north")}
         former.record_change(first, second, revision=5, now=0.0)
         former.record_change(second, first, revision=8, now=0.0)
-        self.assertFalse(former.agree(4, 1.0))
-        self.assertTrue(former.agree(5, 1.0))
+        self.assertFalse(former.confirm_revision(4, 1.0))
+        self.assertTrue(former.confirm_revision(5, 1.0))
         self.assertEqual(len(former.list_domains(first)), 1)
-        self.assertTrue(former.agree(8, 1.0))
+        self.assertTrue(former.confirm_revision(8, 1.0))
         self.assertEqual(former.list_domains(first), [])
 
     def test_change_completes_after_a_time_limit_without_one_router(self):
@@ -54,8 +54,8 @@
         former = FormerTargets()
         old, new = {"e1": Target("e1", "north")}, {"e2": Target("e2", "north")}
         former.record_change(old, new, revision=5, now=0.0)
-        self.assertFalse(former.agree(4, 60_000.0))
-        self.assertTrue(former.agree(4, 60_001.0))
+        self.assertFalse(former.confirm_revision(4, 60_000.0))
+        self.assertTrue(former.confirm_revision(4, 60_001.0))
         self.assertEqual(former.list_domains(new), [])
 
 
@@ -75,7 +75,7 @@
     def send(self, names):
         self.count += 1
         work = make_work(f"r{self.count}", self.content, names)
-        return self.dispatcher.arrive(work, 0.0)
+        return self.dispatcher.add_request(work, 0.0)
 
     def list_used(self, names):
         sent = [self.send(names) for _ in range(6)]
@@ -86,21 +86,21 @@
         common = find_homes(self.content, OLD) & find_homes(self.content, NEW)
         self.dispatcher.configure(make_targets(NEW), 0.0, revision=2)
         self.assertEqual(self.list_used(NEW), common)
-        self.dispatcher.agree(1, 0.0)
+        self.dispatcher.confirm_revision(1, 0.0)
         self.assertLessEqual(self.list_used(NEW), common)
-        self.dispatcher.agree(2, 0.0)
+        self.dispatcher.confirm_revision(2, 0.0)
         self.assertLessEqual(self.list_used(NEW), find_homes(self.content, NEW))
         self.assertIn("e6", self.list_used(NEW) | find_homes(self.content, NEW))
 
     def test_work_queued_during_a_change_is_sent_to_the_new_engines(self):
         """Guards against queued work that is sent by outdated declarations."""
         for n in range(100):
-            self.dispatcher.arrive(make_work(f"w{n}", f"other{n}", OLD), 0.0)
+            self.dispatcher.add_request(make_work(f"w{n}", f"other{n}", OLD), 0.0)
         self.assertEqual(self.send(OLD), [])
         renewed = dict.fromkeys(NEW, 0)
         self.dispatcher.renew = lambda work: replace(work, candidates=renewed)
         self.dispatcher.configure(make_targets(NEW), 0.0, revision=2)
-        actions = self.dispatcher.agree(2, 0.0)
+        actions = self.dispatcher.confirm_revision(2, 0.0)
         sent = {a.identity: a.target for a in actions if isinstance(a, Send)}
         self.assertEqual(set(sent.values()), {"e6"})
         for identity in sent:
--- a/tests/core/test_holderaccounts.py
+++ b/tests/core/test_holderaccounts.py
@@ -115,7 +115,7 @@
     def test_refusal_tells_unreachable_from_exhausted(self):
         holder_accounts, _ = make_holder_accounts()
         grant_state = holder_accounts.grant_states["pounds"]
-        grant_state.take(Grant(), free=0, elsewhere=300, now=0.0)
+        grant_state.update_grant(Grant(), free=0, elsewhere=300, now=0.0)
         self.assertEqual(grant_state.refuse("a", 300, now=0.0), BUDGET_UNREACHABLE)
         self.assertEqual(grant_state.refuse("a", 301, now=0.0), BUDGET_EXHAUSTED)
         self.assertEqual(grant_state.recall_refusal(400, now=500.0), BUDGET_EXHAUSTED)
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -24,7 +24,7 @@
     """Return a roster from the vitals and instant of each member's last heartbeat."""
     members = MemberTable(LEASE)
     for name, (heartbeat_status, at) in heard.items():
-        members = members.hear(make_member(name), heartbeat_status, at)
+        members = members.record_heartbeat(make_member(name), heartbeat_status, at)
     return members
 
 
@@ -156,7 +156,7 @@
         members = make_members(r2=(SETTLED, 0.0), r3=(SETTLED, 0.0))
         for name in ("r5", "r6"):
             newcomer = make_member(name, since=SEEN + 1)
-            members = members.hear(newcomer, OUT, 4_500.0)
+            members = members.record_heartbeat(newcomer, OUT, 4_500.0)
         self.assertFalse(members.is_platform_down(SEEN, 4_600.0))
 
     def test_router_that_renews_only_recently_does_not_count(self):
@@ -168,7 +168,7 @@
         members = make_members(r2=(SETTLED, 0.0), r9=(SETTLED, 0.0))
         for name in ("r5", "r6", "r7"):
             newcomer = make_member(name, since=101)
-            members = members.hear(newcomer, SETTLED, 4_500.0)
+            members = members.record_heartbeat(newcomer, SETTLED, 4_500.0)
         self.assertFalse(self.may_remove(members))
 
     def test_member_that_was_heard_within_a_lease_is_not_removed(self):
--- a/tests/core/test_poison_views.py
+++ b/tests/core/test_poison_views.py
@@ -42,7 +42,7 @@
             prefixes=PREFIXES,
             content=content,
         )
-        self.take(router, self.routers[router].arrive(work, self.now))
+        self.take(router, self.routers[router].add_request(work, self.now))
         return name
 
     def list_candidates(self, router):
--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -26,7 +26,7 @@
         quarantine.crashed("suspect", "e1", sent=0.0, now=10.0)
         quarantine.sent("suspect", "e2")
         self.assertFalse(quarantine.crashed("neighbour", "e2", sent=11.0, now=20.0))
-        quarantine.ended("suspect", "e2")
+        quarantine.record_end("suspect", "e2")
         self.assertTrue(quarantine.crashed("suspect", "e2", sent=12.0, now=20.0))
         self.assertFalse(quarantine.is_suspect("neighbour"))
         self.assertTrue(quarantine.is_quarantined("suspect", 21.0))
@@ -40,11 +40,11 @@
         """
         quarantine = Quarantine()
         quarantine.crashed("own", "e1", sent=0.0, now=10.0)
-        quarantine.hear("poison", "e1", now=11.0)
+        quarantine.record_crash_report("poison", "e1", now=11.0)
         quarantine.sent("own", "e2")
         quarantine.crashed("own", "e2", sent=12.0, now=20.0)
         for _ in range(2):
-            quarantine.hear("poison", "e2", now=21.0)
+            quarantine.record_crash_report("poison", "e2", now=21.0)
         self.assertTrue(quarantine.is_quarantined("poison", 22.0))
 
     def test_target_with_a_suspect_is_not_free_for_a_second_one(self):
@@ -100,17 +100,17 @@
         """Guards against an extra attempt of a poison request at each router."""
         quarantine = Quarantine()
         for n, content in enumerate("abc"):
-            quarantine.hear(content, "e1", now=3_000.0 * n)
+            quarantine.record_crash_report(content, "e1", now=3_000.0 * n)
         for target in ("e1", "e2"):
-            quarantine.hear("poison", target, now=9_000.0)
+            quarantine.record_crash_report("poison", target, now=9_000.0)
         self.assertFalse(quarantine.is_quarantined("poison", 9_001.0))
-        quarantine.hear("poison", "e1", now=10_000.0, times=2)
+        quarantine.record_crash_report("poison", "e1", now=10_000.0, times=2)
         self.assertTrue(quarantine.is_quarantined("poison", 10_001.0))
 
     def test_report_of_content_that_only_ran_there_counts_as_reached_target(self):
         quarantine = Quarantine()
         for target in ("e1", "e2"):
-            quarantine.hear("neighbour", target, now=10.0, times=0)
+            quarantine.record_crash_report("neighbour", target, now=10.0, times=0)
         self.assertFalse(quarantine.is_suspect("neighbour"))
         self.assertFalse(quarantine.may_reach("neighbour", "e3"))
 
--- a/tests/core/test_relocation.py
+++ b/tests/core/test_relocation.py
@@ -55,7 +55,7 @@
                     self.settle(n, ask, agreed)
 
     def settle(self, router, ask, agreed):
-        self.take(router, self.routers[router].settle(ask, agreed, self.now))
+        self.take(router, self.routers[router].finish_relocation(ask, agreed, self.now))
 
     def take_down(self, target):
         for n, router in enumerate(self.routers):
--- a/tests/core/test_restriction.py
+++ b/tests/core/test_restriction.py
@@ -23,7 +23,7 @@
         work = Work(
             f"r{self.count}", "org", "x", candidates, 10, 10, 1e9, content=content
         )
-        sent = self.dispatcher.arrive(work, 0.0)
+        sent = self.dispatcher.add_request(work, 0.0)
         return [action.target for action in sent if isinstance(action, Send)]
 
     def test_single_router_sends_work_to_any_target_when_the_homes_are_full(self):
--- a/tests/core/test_retries.py
+++ b/tests/core/test_retries.py
@@ -23,5 +23,5 @@
         budget.limit(2.0)
         self.assertFalse(budget.take(Failure.BROKE_OFF))
         for _ in range(5):
-            budget.earn()
+            budget.add_answer()
         self.assertTrue(budget.take(Failure.BROKE_OFF))
--- a/tests/core/test_sequencenumbers.py
+++ b/tests/core/test_sequencenumbers.py
@@ -13,16 +13,16 @@
         rng, numbers = random.Random(4), SequenceNumbers()
         sent = [n for n in range(1, 2_000) for _ in range(2)]
         sent.sort(key=lambda n: n + rng.uniform(0.0, 900.0))
-        taken = [n for n in sent if numbers.take(n)]
+        taken = [n for n in sent if numbers.accept(n)]
         self.assertEqual(len(taken), len(set(taken)))
 
     def test_slightly_reordered_messages_are_accepted(self):
         numbers = SequenceNumbers()
         order = [2, 1, 4, 3, 6, 5]
-        self.assertTrue(all(numbers.take(n) for n in order))
+        self.assertTrue(all(numbers.accept(n) for n in order))
 
     def test_the_number_of_stored_numbers_is_bounded(self):
         numbers = SequenceNumbers()
         for number in range(1, 5_000):
-            numbers.take(number)
+            numbers.accept(number)
         self.assertEqual(len(numbers.seen), 256)
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -53,7 +53,7 @@
         journal = self.journals[node] = SilentJournal()
         store = self.store.view(node)
         allotter = ShareManager(store, node, holder, self.clock, journal)
-        allotter.alone = False
+        allotter.has_no_peers = False
         reservations = Reservations(
             allotter,
             AllocatorMap(node),
@@ -77,7 +77,7 @@
                 MarkLog(HISTORY),
                 boot=holder,
                 read_wall=self.clock.now,
-                end_record=allotter.end_round,
+                end_record=allotter.notify_waiters,
             )
             allotter.bound_former_use = recorder.bound_former_use
             reservations.recorder = recorder
@@ -89,14 +89,14 @@
     def _note_routers(self) -> None:
         for one in self.reservations.values():
             if one.allocators.set_routers(set(self.reservations)):
-                one.allotter.found_at = self.clock.now()
+                one.allotter.last_discovery = self.clock.now()
             one.balances.set_allocators(one.allocators)
 
     async def _run(self, node: str) -> None:
         await self.allotters[node].run()
 
     async def _record(self, node: str) -> None:
-        while not self.allotters[node].begun:
+        while not self.allotters[node].is_ready:
             await asyncio.sleep(0.1)
         await self.recorders[node].run()
 
--- a/tests/gateway/permitfleet.py
+++ b/tests/gateway/permitfleet.py
@@ -157,7 +157,7 @@
                 turn.close()
                 self.refused.append(patience - (end - clock.now()))
                 return False
-            run = await turn.take(choice, rank, end)
+            run = await turn.request_permit(choice, rank, end)
             if self.dead:
                 return False
             if run is not None:
--- a/tests/router/test_agreement.py
+++ b/tests/router/test_agreement.py
@@ -72,7 +72,7 @@
             work = Work(
                 name, "org", "x", candidates, 10, 10, now + 1e6, content=content
             )
-            sent = node.dispatcher.arrive(work, now)
+            sent = node.dispatcher.add_request(work, now)
             used |= {action.target for action in sent if isinstance(action, Send)}
             node.dispatcher.cancel(name, now)
         return used
--- a/tests/router/test_claims.py
+++ b/tests/router/test_claims.py
@@ -57,7 +57,7 @@
             self.reply = reply
             async with asyncio.timeout(2):
                 with self.assertRaises(AnvilshiftError) as caught:
-                    await self.book.take(make_job())
+                    await self.book.acquire(make_job())
             self.assertEqual(caught.exception.code.number, 5001, reply)
             self.assertEqual(caught.exception.code.fate.value, "not run")
             self.assertIsNotNone(caught.exception.retry_after)
@@ -86,10 +86,10 @@
         With a read every 20 ms, a hundred waiting orders would use up the platform's
         rate limit.
         """
-        await self.make_book("r2-x").take(make_job())
+        await self.make_book("r2-x").acquire(make_job())
         before = self.store.calls["get"]
         with self.assertRaises(AnvilshiftError) as caught:
-            await self.book.take(make_job(span=2_000.0))
+            await self.book.acquire(make_job(span=2_000.0))
         self.assertEqual(caught.exception.code.number, 4003)
         self.assertLessEqual(self.store.calls["get"] - before, 6)
         self.assertEqual(self.store.calls["list"], 0)
@@ -99,8 +99,8 @@
 
         The work may have run at that router, so *not run* could be wrong.
         """
-        await self.make_book("r2-x").take(make_job())
-        waiting = asyncio.create_task(self.book.take(make_job()))
+        await self.make_book("r2-x").acquire(make_job())
+        waiting = asyncio.create_task(self.book.acquire(make_job()))
         while self.store.calls["get"] < 3:
             await asyncio.sleep(0)
         self.store.faults.outage = True
@@ -109,17 +109,17 @@
         self.assertEqual(caught.exception.code.fate.value, "unknown")
 
     async def test_work_whose_own_task_is_gone_is_unknown_at_once(self):
-        claim = await self.book.take(make_job())
+        claim = await self.book.acquire(make_job())
         self.book._running.discard(claim.token)
         async with asyncio.timeout(1):
             with self.assertRaises(AnvilshiftError) as caught:
-                await self.book.take(make_job())
+                await self.book.acquire(make_job())
         self.assertEqual(caught.exception.code.number, 4003)
 
     async def test_late_void_of_one_sending_leaves_the_next_alone(self):
-        first = await self.book.take(make_job())
+        first = await self.book.acquire(make_job())
         await self.book.record("i", first.void())
-        await self.book.take(make_job())
+        await self.book.acquire(make_job())
         await self.book.record("i", first.void())
         self.assertEqual(self.store.peek(CLAIM_KIND, "i")["state"], "open")
 
--- a/tests/router/test_crashes.py
+++ b/tests/router/test_crashes.py
@@ -101,9 +101,9 @@
         requests in flight.
         """
         crashes = self.fleet.nodes["r1"].crashes
-        crashes.announce(CrashAnnouncement("poison", "e1"))
+        crashes.report(CrashAnnouncement("poison", "e1"))
         for n in range(200):
-            crashes.announce(CrashAnnouncement(f"neighbour{n}", "e2", times=0))
+            crashes.report(CrashAnnouncement(f"neighbour{n}", "e2", times=0))
         reported = [
             (crash.content, crash.target) for crash in crashes.list_reports_to_send()
         ]
--- a/tests/router/test_permits.py
+++ b/tests/router/test_permits.py
@@ -56,7 +56,9 @@
         now = self.fleet.clock.now()
         for other in self.fleet.routers.values():
             if other is not self and not {self.name, other.name} & self.fleet.cut:
-                self.members = self.members.hear(other.member, HeartbeatStatus(), now)
+                self.members = self.members.record_heartbeat(
+                    other.member, HeartbeatStatus(), now
+                )
         self.permits.note_routers()
 
     async def ask(self, candidates, deadline: float) -> bool:
--- a/tests/router/test_returning.py
+++ b/tests/router/test_returning.py
@@ -61,7 +61,7 @@
         candidates = {"e1": 0, "e2": 0}
         for n in range(7):
             work = Work(f"w{n}", "org", "x", candidates, 10, 10, now + 60_000.0)
-            record_and_act(node.dispatcher.arrive(work, now))
+            record_and_act(node.dispatcher.add_request(work, now))
         self.assertEqual(sent, ["e2"])
         down.clear()
         await asyncio.sleep(1)
--- a/tests/router/test_witnesses.py
+++ b/tests/router/test_witnesses.py
@@ -32,7 +32,7 @@
         members = MemberTable(5_000.0)
         for other in NAMES:
             if other != name:
-                members = members.hear(
+                members = members.record_heartbeat(
                     make_member(other), HeartbeatStatus(), self.clock.now()
                 )
         return BillCopyHolders(self, self.clock, make_member(name), lambda: members)
