--- a/anvilshift/core/balances.py
+++ b/anvilshift/core/balances.py
@@ -16,7 +16,7 @@
 from anvilshift.core.allocators import AllocatorMap
 from anvilshift.core.allotments import Allotment, Allotments, ShareRequest
 from anvilshift.core.clock import SECOND, Millis
-from anvilshift.core.cushions import Balance, Pace
+from anvilshift.core.cushions import Balance, RecordLimit
 from anvilshift.core.usage import Use, UseRecord
 
 FREE_KNOWN_FOR: Millis = 2 * SECOND
@@ -170,14 +170,14 @@
         limited = {name: p for name, p in self.balances.items() if p.limited}
         return {name: balance.make_use(now) for name, balance in limited.items()}
 
-    def pace(self, record: UseRecord) -> None:
+    def limit_by_record(self, record: UseRecord) -> None:
         """Limit spending by a record of use that is about to be written.
 
         The limit applies before the write, which may take effect unnoticed.
         """
         for name, use in record.uses.items():
             if name in self.balances:
-                self.balances[name].paces += (Pace(record.anchor, use),)
+                self.balances[name].record_limits += (RecordLimit(record.anchor, use),)
 
     def confirm_record(self, record: UseRecord) -> None:
         """Limit spending only by a record that the store has confirmed.
@@ -186,7 +186,7 @@
         """
         for name, balance in self.balances.items():
             use = record.uses.get(name)
-            balance.paces = (Pace(record.anchor, use),) if use else ()
+            balance.record_limits = (RecordLimit(record.anchor, use),) if use else ()
 
     def transfer_reservation(self, name: str, key: str, now: Millis) -> int:
         """Transfer the tokens of a reservation to another router; return their number.
--- a/anvilshift/core/blame.py
+++ b/anvilshift/core/blame.py
@@ -50,14 +50,14 @@
 
     Examples
     --------
-    >>> blame_book = CrashBlame()
+    >>> blame = CrashBlame()
     >>> for name in ("e1", "e2", "e3"):
-    ...     _ = blame_book.record_broken_answer("poison", name, now=0.0)
-    ...     blame_book.lost(name, now=100.0)
+    ...     _ = blame.record_broken_answer("poison", name, now=0.0)
+    ...     blame.lost(name, now=100.0)
     ['poison']
     ['poison']
     ['poison']
-    >>> blame_book.is_poison("poison", now=200.0)
+    >>> blame.is_poison("poison", now=200.0)
     True
     """
 
--- a/anvilshift/core/choosing.py
+++ b/anvilshift/core/choosing.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, field
 
 from anvilshift.core.clock import SECOND, Millis
-from anvilshift.core.ejection import State
+from anvilshift.core.ejection import HealthState
 from anvilshift.core.loadmap import (
     FETCH_SETUP,
     LoadMap,
@@ -153,7 +153,7 @@
         for target in targets
         if not target.info.leaving and target.info.name not in excluded
     ]
-    healthy = [t for t in present if t.health.state is not State.EJECTED]
+    healthy = [t for t in present if t.health.state is not HealthState.EJECTED]
     return healthy or present
 
 
--- a/anvilshift/core/claims.py
+++ b/anvilshift/core/claims.py
@@ -123,7 +123,7 @@
     return ended if is_own or both_void else None
 
 
-class Verdict(Enum):
+class Decision(Enum):
     """How a router handles a request, given the claim that it found."""
 
     RUN = "run"
@@ -133,7 +133,7 @@
     REUSED = "reused"
 
 
-def judge(found: Claim | None, request: Claim) -> Verdict:
+def decide(found: Claim | None, request: Claim) -> Decision:
     """Decide how to handle a request, given the claim found for its key.
 
     A found claim with the request's token is its own: the write took effect and only
@@ -149,19 +149,19 @@
     Examples
     --------
     >>> mine = Claim("digest", "r1", "t1", at=0)
-    >>> judge(None, mine), judge(mine, mine)
-    (<Verdict.RUN: 'run'>, <Verdict.RUN: 'run'>)
-    >>> judge(mine, Claim("digest", "r1", "t2", at=1))
-    <Verdict.WAIT: 'wait'>
+    >>> decide(None, mine), decide(mine, mine)
+    (<Decision.RUN: 'run'>, <Decision.RUN: 'run'>)
+    >>> decide(mine, Claim("digest", "r1", "t2", at=1))
+    <Decision.WAIT: 'wait'>
     """
     if found is None:
-        return Verdict.RUN
+        return Decision.RUN
     if found.content != request.content:
-        return Verdict.REUSED
+        return Decision.REUSED
     if found.state is ClaimState.DONE:
-        return Verdict.ANSWER
+        return Decision.ANSWER
     if found.state is ClaimState.LOST:
-        return Verdict.LOST
+        return Decision.LOST
     if found.state is ClaimState.VOID or found.token == request.token:
-        return Verdict.RUN
-    return Verdict.WAIT
+        return Decision.RUN
+    return Decision.WAIT
--- a/anvilshift/core/concurrency.py
+++ b/anvilshift/core/concurrency.py
@@ -42,7 +42,7 @@
 each report, up to this multiple of the declared ones."""
 
 
-class Limit:
+class ConcurrencyLimit:
     """The number of requests that this router may have at one target.
 
     Parameters
@@ -65,7 +65,7 @@
 
     Examples
     --------
-    >>> limit = Limit(slots=8, routers=4)
+    >>> limit = ConcurrencyLimit(slots=8, routers=4)
     >>> limit.report(LoadReport("e1", 4, 0, as_of=0.0), now=0.0)
     >>> limit.share
     2.0
--- a/anvilshift/core/cushions.py
+++ b/anvilshift/core/cushions.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True)
-class Pace:
+class RecordLimit:
     """The spending limit that one use record of this router sets over time.
 
     Parameters
@@ -99,7 +99,7 @@
         By request, the most that it can cost.
     waiting
         By request, the tokens that it needs and could not reserve.
-    paces
+    record_limits
         The limit of every use record that may be in the store.  If spending exceeded
         one of them, a router that ends this router's share would count too little.
     rate, rate_updated_at
@@ -128,7 +128,7 @@
     settled: int = 0
     reserved: dict[str, int] = field(default_factory=dict)
     waiting: dict[str, int] = field(default_factory=dict)
-    paces: tuple[Pace, ...] = ()
+    record_limits: tuple[RecordLimit, ...] = ()
     rate: float = 0.0
     rate_updated_at: Millis = 0.0
     rate_since: Millis | None = None
@@ -156,7 +156,9 @@
 
     def available(self, now: Millis) -> int:
         """Return the tokens that another request may reserve now."""
-        limits = [pace.use.find_limit(now - pace.anchor) for pace in self.paces]
+        limits = [
+            limit.use.find_limit(now - limit.anchor) for limit in self.record_limits
+        ]
         return min([self.ceiling, *limits]) - self.spent
 
     def find_wait(self, tokens: int, now: Millis) -> Millis | None:
@@ -167,8 +169,8 @@
         if tokens > self.ready:
             return None
         spent, longest = self.spent + tokens, 0.0
-        for pace in self.paces:
-            wait = pace.use.find_wait(spent, now - pace.anchor)
+        for limit in self.record_limits:
+            wait = limit.use.find_wait(spent, now - limit.anchor)
             if wait is None:
                 return None
             longest = max(longest, wait)
@@ -192,7 +194,7 @@
 
     def is_rate_limited(self) -> bool:
         """Tell whether a use record limits spending to less than the ceiling."""
-        uses = [pace.use for pace in self.paces]
+        uses = [limit.use for limit in self.record_limits]
         return any(use.recorded + use.at_once < self.ceiling for use in uses)
 
     def count_use(self, tokens: int, now: Millis) -> None:
--- a/anvilshift/core/dispatcher.py
+++ b/anvilshift/core/dispatcher.py
@@ -12,7 +12,7 @@
 
 from anvilshift.core.backlog import Backlog
 from anvilshift.core.clock import Millis
-from anvilshift.core.concurrency import STALE_AFTER, Limit
+from anvilshift.core.concurrency import STALE_AFTER, ConcurrencyLimit
 from anvilshift.core.healthmonitor import HealthMonitor
 from anvilshift.core.pools import Kind, Pools, TargetView
 from anvilshift.core.queue import Entry
@@ -162,7 +162,9 @@
     def _update_target(self, name: str, target: Target) -> None:
         view = self._state.views.get(name)
         if view is None:
-            view = TargetView(target, Limit(target.slots, self._state.routers))
+            view = TargetView(
+                target, ConcurrencyLimit(target.slots, self._state.routers)
+            )
             self._state.views[name] = view
         view.target = target
         view.limit.set_slots(target.slots)
@@ -426,7 +428,7 @@
             actions += self._rebuild_pools(now)
         if now >= self._last_sweep + _SWEEP_INTERVAL:
             self._last_sweep = now
-            actions += self._sender.sweep(now)
+            actions += self._sender.retry_skipped(now)
         return actions
 
     def next_tick(self, now: Millis) -> Millis | None:
--- a/anvilshift/core/durations.py
+++ b/anvilshift/core/durations.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Mean:
+class DecayingMean:
     """A geometric mean with exponential decay.
 
     Attributes
@@ -52,7 +52,7 @@
 
     Examples
     --------
-    >>> mean = Mean(8.0)
+    >>> mean = DecayingMean(8.0)
     >>> mean.add(2.0); mean.add(8.0)
     >>> round(mean.value, 3)
     4.0
@@ -95,12 +95,16 @@
     322
     """
 
-    pace: Mean = field(default_factory=lambda: Mean(_DEFAULT_TOKEN_TIME))
-    typical: Mean = field(default_factory=lambda: Mean(_DEFAULT_FIRST_TOKEN))
-    _first: dict[str, Mean] = field(default_factory=dict)
-    _warm: dict[str, Mean] = field(default_factory=dict)
-    _used_fractions: dict[tuple[str, str], Mean] = field(default_factory=dict)
-    _error: Mean = field(default_factory=lambda: Mean(1.0))
+    pace: DecayingMean = field(
+        default_factory=lambda: DecayingMean(_DEFAULT_TOKEN_TIME)
+    )
+    typical: DecayingMean = field(
+        default_factory=lambda: DecayingMean(_DEFAULT_FIRST_TOKEN)
+    )
+    _first: dict[str, DecayingMean] = field(default_factory=dict)
+    _warm: dict[str, DecayingMean] = field(default_factory=dict)
+    _used_fractions: dict[tuple[str, str], DecayingMean] = field(default_factory=dict)
+    _error: DecayingMean = field(default_factory=lambda: DecayingMean(1.0))
     _last_measured: Millis = -math.inf
 
     def first(self, request_class: str) -> Millis:
@@ -149,7 +153,7 @@
             Whether the prompt's prefix was assumed to be in the target's cache.
         """
         means = self._warm if warm else self._first
-        means.setdefault(work.request_class, Mean(span or 1.0)).add(span)
+        means.setdefault(work.request_class, DecayingMean(span or 1.0)).add(span)
         self._last_measured = now
 
     def add_answer_time(
@@ -170,5 +174,5 @@
         if tokens and work.answer_tokens:
             key = work.organisation, work.request_class
             fraction = min(1.0, tokens / work.answer_tokens)
-            self._used_fractions.setdefault(key, Mean(fraction)).add(fraction)
+            self._used_fractions.setdefault(key, DecayingMean(fraction)).add(fraction)
         self._last_measured = now
--- a/anvilshift/core/ejection.py
+++ b/anvilshift/core/ejection.py
@@ -45,7 +45,7 @@
 """Concurrent requests at which a probed target counts as healthy again."""
 
 
-class State(Enum):
+class HealthState(Enum):
     """Whether a target is in use, ejected or being probed."""
 
     HEALTHY = "healthy"
@@ -82,7 +82,7 @@
     ('ejected', True)
     """
 
-    state: State = State.HEALTHY
+    state: HealthState = HealthState.HEALTHY
     until: Millis = 0.0
     cap: int = 0
     level: float = 0.0
@@ -101,10 +101,10 @@
     def add_answer(self) -> None:
         """Record a complete answer; double the request limit of a probed target."""
         self._failed_contents.clear()
-        if self.state is State.PROBING:
+        if self.state is HealthState.PROBING:
             self.cap *= 2
             if self.cap >= _HEALTHY_CAP:
-                self.state, self._ejections = State.HEALTHY, 0
+                self.state, self._ejections = HealthState.HEALTHY, 0
 
     def add_failure(self, content: str) -> None:
         """Record a failed attempt; repeated failures of one content count once."""
@@ -119,7 +119,7 @@
             Level of the other targets.
         """
         is_slow = self.level - baseline > math.log(_SLOW_RATIO)
-        if self.state is State.PROBING:
+        if self.state is HealthState.PROBING:
             return bool(self._failed_contents) or is_slow
         is_slow = is_slow and self._samples >= _MIN_SAMPLES
         return is_slow or len(self._failed_contents) >= _FAILURE_THRESHOLD
@@ -135,11 +135,11 @@
         duration = min(_MAX_EJECTION, _BASE_EJECTION * 2.0**self._ejections)
         self._ejections += 1
         self.until = now + duration * rng.uniform(1.0, 1.0 + _JITTER)
-        self.state = State.EJECTED
+        self.state = HealthState.EJECTED
 
     def probe(self, now: Millis) -> None:
         """Start probing: reset the statistics and allow one request at a time."""
-        self.state, self.cap, self.since = State.PROBING, 1, now
+        self.state, self.cap, self.since = HealthState.PROBING, 1, now
         self.level, self._samples = 0.0, 0
         self._failed_contents.clear()
 
--- a/anvilshift/core/healthmonitor.py
+++ b/anvilshift/core/healthmonitor.py
@@ -2,7 +2,7 @@
 
 from anvilshift.core.backlog import Backlog
 from anvilshift.core.clock import Millis
-from anvilshift.core.ejection import State, may_eject
+from anvilshift.core.ejection import HealthState, may_eject
 from anvilshift.core.pools import TargetView
 from anvilshift.core.relocation import Relocation
 from anvilshift.core.restriction import TargetRestriction
@@ -103,10 +103,10 @@
         A target that fails while it is being probed is ejected in any case.
         """
         health = view.health
-        if health.state is State.EJECTED or not view.should_eject():
+        if health.state is HealthState.EJECTED or not view.should_eject():
             return []
         kind = view.kind
-        returning = health.state is State.PROBING
+        returning = health.state is HealthState.PROBING
         if not returning and not may_eject(kind.count_unhealthy(), len(kind.views)):
             return []
         view.note_outage(now)
--- a/anvilshift/core/loadmap.py
+++ b/anvilshift/core/loadmap.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 
 from anvilshift.core.clock import SECOND, Millis
-from anvilshift.core.durations import Mean
+from anvilshift.core.durations import DecayingMean
 from anvilshift.core.ejection import Health
 from anvilshift.core.ratelimits import RateLimit, RequestLog
 
@@ -199,7 +199,7 @@
     last_begun: Millis = -math.inf
     last_disturbed: Millis = -math.inf
     health: Health = field(default_factory=Health)
-    speed: Mean = field(default_factory=lambda: Mean(1.0))
+    speed: DecayingMean = field(default_factory=lambda: DecayingMean(1.0))
     limit: RateLimit | None = None
     meter: RequestLog = field(default_factory=RequestLog)
     paused_until: Millis = -math.inf
--- a/anvilshift/core/permits.py
+++ b/anvilshift/core/permits.py
@@ -58,7 +58,7 @@
     renewed: Millis
 
 
-class State(Enum):
+class BidState(Enum):
     """State of a bid."""
 
     GRANTED = "granted"
@@ -77,7 +77,7 @@
     """
 
     run: str
-    state: State
+    state: BidState
     wait: Millis = 0.0
 
 
@@ -150,7 +150,7 @@
             Requests per second that the target accepts; None if unlimited.
         """
         if bid.run in self._meter:
-            return Verdict(bid.run, State.GRANTED)
+            return Verdict(bid.run, BidState.GRANTED)
         earlier_bid = self._waiting.get(bid.run)
         if earlier_bid is not None:
             bid = replace(bid, asked=earlier_bid.asked)
@@ -165,7 +165,7 @@
         expected = due + self._count_ahead(bid, now) * gap
         if expected > bid.latest:
             return self._refuse(bid, expected - now)
-        return Verdict(bid.run, State.QUEUED, expected - now)
+        return Verdict(bid.run, BidState.QUEUED, expected - now)
 
     def grant_due(
         self, rate: float | None, now: Millis, silence: Millis
@@ -215,12 +215,12 @@
         while now - self._granted[0][0] > _PERMIT_MEMORY:
             self._recent_permits[self._granted.popleft()[1]] -= 1
         self.issued += 1
-        return Verdict(bid.run, State.GRANTED)
+        return Verdict(bid.run, BidState.GRANTED)
 
     def _refuse(self, bid: Bid, wait: Millis) -> Verdict:
         del self._waiting[bid.run]
         self.refused += 1
-        return Verdict(bid.run, State.REFUSED, max(0.0, wait))
+        return Verdict(bid.run, BidState.REFUSED, max(0.0, wait))
 
     def _order_key(self, bid: Bid, now: Millis) -> tuple[int, int, Millis]:
         return (
--- a/anvilshift/core/pools.py
+++ b/anvilshift/core/pools.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 
 from anvilshift.core.clock import SECOND, Millis
-from anvilshift.core.concurrency import Limit
-from anvilshift.core.durations import Durations, Mean
-from anvilshift.core.ejection import Health, State
+from anvilshift.core.concurrency import ConcurrencyLimit
+from anvilshift.core.durations import DecayingMean, Durations
+from anvilshift.core.ejection import Health, HealthState
 from anvilshift.core.homes import rank_targets
 from anvilshift.core.queue import Entry, FairQueue, ServiceTags
 from anvilshift.core.queueset import QueueSet
@@ -47,7 +47,7 @@
 
     shares: ServiceTags = field(default_factory=ServiceTags)
     durations: Durations = field(default_factory=Durations)
-    typical: Mean = field(default_factory=lambda: Mean(1.0))
+    typical: DecayingMean = field(default_factory=lambda: DecayingMean(1.0))
     pools: "list[Pool]" = field(default_factory=list)
     views: "dict[str, TargetView]" = field(default_factory=dict)
     levels: float = 0.0
@@ -59,7 +59,7 @@
     def count_unhealthy(self) -> int:
         """Return how many targets are ejected or being probed."""
         return sum(
-            view.health.state is not State.HEALTHY for view in self.views.values()
+            view.health.state is not HealthState.HEALTHY for view in self.views.values()
         )
 
 
@@ -82,7 +82,7 @@
     """
 
     target: Target
-    limit: Limit
+    limit: ConcurrencyLimit
     health: Health = field(default_factory=Health)
     leaving: bool = False
     whole: int = 0
@@ -97,12 +97,12 @@
     @property
     def is_used(self) -> bool:
         """Return whether it is neither leaving nor ejected."""
-        return not self.leaving and self.health.state is not State.EJECTED
+        return not self.leaving and self.health.state is not HealthState.EJECTED
 
     @property
     def is_healthy(self) -> bool:
         """Return whether it is neither leaving nor ejected nor being probed."""
-        return not self.leaving and self.health.state is State.HEALTHY
+        return not self.leaving and self.health.state is HealthState.HEALTHY
 
     def note_outage(self, now: Millis) -> None:
         """Record when a healthy target goes out of use; call it before the change."""
@@ -118,7 +118,7 @@
             # Concurrency equals arrival rate times run time (Little's law).
             concurrent = self.named.rate * self.kind.typical.value / SECOND
             return min(concurrent / self.limit.routers, self.limit.share)
-        if self.health.state is State.PROBING:
+        if self.health.state is HealthState.PROBING:
             return min(float(self.health.cap), self.limit.share)
         return self.limit.share
 
@@ -157,7 +157,7 @@
     def has_slot(self) -> bool:
         """Return whether this router has a free slot here, whatever the rate limit."""
         most = self.whole
-        if self.health.state is State.PROBING:
+        if self.health.state is HealthState.PROBING:
             most = min(self.health.cap, max(1, self.whole))
         return self.is_used and self.limit.own < most
 
--- a/anvilshift/core/sending.py
+++ b/anvilshift/core/sending.py
@@ -4,7 +4,7 @@
 
 from anvilshift.core.backlog import Backlog
 from anvilshift.core.clock import Millis
-from anvilshift.core.ejection import State
+from anvilshift.core.ejection import HealthState
 from anvilshift.core.errors import OVERLOADED
 from anvilshift.core.exposure import TARGETS
 from anvilshift.core.placement import DRAWN, HOLDERS, Option, choose
@@ -116,7 +116,7 @@
             return False
         if name in entry.tried and self.has_untried_target(entry, pool, now):
             return False
-        if view.health.state is State.PROBING:
+        if view.health.state is HealthState.PROBING:
             slack = work.deadline - now
             if not work.idempotent or slack < _PROBE_SLACK_FACTOR * entry.service:
                 return False
@@ -232,7 +232,7 @@
         self._state.quarantine.record_end(attempt.entry.work.content, name, ran)
         return attempt
 
-    def sweep(self, now: Millis) -> Actions:
+    def retry_skipped(self, now: Millis) -> Actions:
         """Offer free slots again to work that was skipped before."""
         actions: Actions = []
         for pool in self._state.pools:
--- a/anvilshift/core/state.py
+++ b/anvilshift/core/state.py
@@ -5,7 +5,7 @@
 
 from anvilshift.core.admission import draw_retry_delay, misses_deadline
 from anvilshift.core.clock import SECOND, Millis
-from anvilshift.core.durations import Mean
+from anvilshift.core.durations import DecayingMean
 from anvilshift.core.errors import QUARANTINED, Code
 from anvilshift.core.exposure import CHARGE_LIFETIME
 from anvilshift.core.former import FormerTargets
@@ -85,7 +85,7 @@
     quarantine: Quarantine = field(default_factory=Quarantine)
     former: FormerTargets = field(default_factory=FormerTargets)
     retries: RetryBudget = field(default_factory=RetryBudget)
-    recording: Mean = field(default_factory=lambda: Mean(1.0))
+    recording: DecayingMean = field(default_factory=lambda: DecayingMean(1.0))
     preparations: Preparations = field(default_factory=Preparations)
     partitioned: bool = False
     has_others: bool = False
--- a/anvilshift/gateway/attempts.py
+++ b/anvilshift/gateway/attempts.py
@@ -223,7 +223,7 @@
         name = outgoing.choice.target.info.name
         self.loads.begin(name, outgoing.run, self.clock.now())
         if self.peers.small:
-            self.peers.tell(Begun(outgoing.run, name))
+            self.peers.broadcast(Begun(outgoing.run, name))
 
     def _record_end(self, outgoing: Outgoing) -> None:
         name = outgoing.choice.target.info.name
@@ -238,7 +238,7 @@
         arrives.
         """
         if self.peers.small:
-            self.peers.tell(message)
+            self.peers.broadcast(message)
         elif outgoing.capacity:
             domain = outgoing.choice.target.info.failure_domain
             self.peers.send_near(message, domain, soon=isinstance(message, Sent))
--- a/anvilshift/gateway/conversation.py
+++ b/anvilshift/gateway/conversation.py
@@ -95,7 +95,7 @@
         if not self.is_leaving():
             names.add(self.settings.name)
         leaving = {one.beat.router for one in peers if one.beat.leaving}
-        self.limits.note_routers(names, leaving)
+        self.limits.update_routers(names, leaving)
         self.allotter.has_no_peers = not peers
         known = self.allocators.routers
         if names and self.allocators.set_routers(names):
@@ -230,7 +230,7 @@
     def send_mark(self, mark: Mark) -> None:
         """Send the other routers a new mark of the store's history."""
         age = self.clock.now() - mark.followed
-        self.peers.tell(Marked(((mark.revision, age),)))
+        self.peers.broadcast(Marked(((mark.revision, age),)))
 
     def send_farewell(self) -> None:
         """Send the other routers this router's final spending.
@@ -255,7 +255,7 @@
         """
         self.handle_lost_target(name)
         self._mark_leaving(name)
-        self.peers.tell(Leaving(name))
+        self.peers.broadcast(Leaving(name))
 
     def handle_lost_target(self, name: str) -> None:
         """Blame the content that was running at a target that is found lost.
@@ -264,4 +264,4 @@
         """
         for content in self.shared.blame.lost(name, self.clock.now()):
             self.journal.write("content_blamed", content=content, target=name)
-            self.peers.tell(Blamed(content, name))
+            self.peers.broadcast(Blamed(content, name))
--- a/anvilshift/gateway/following.py
+++ b/anvilshift/gateway/following.py
@@ -19,15 +19,15 @@
 """Growth of the pause with each further failure, and its maximum in milliseconds.
 Failed calls are priced too.  The maximum is short enough to notice the store's return
 well within the time limits that start with it."""
-_SCOUT_POLL_INTERVAL: Millis = 50.0
-"""Interval between checks of the scout's state."""
+_PROBE_POLL_INTERVAL: Millis = 50.0
+"""Interval between checks of the probe's state."""
 _REGISTRATION_TIME: Millis = 2_200.0
 """Time for targets to register again after an outage: entries of running targets are
 back about 2 s after the store is reachable."""
 _WATCH_GRACE: Millis = 1_000.0
 """The store counts as unreachable when a watch is overdue by this much."""
 _UNSTRETCHED_ROUTERS = 4
-_MAX_STRETCH = 2.7
+_MAX_INTERVAL_FACTOR = 2.7
 
 
 def find_interval_factor(routers: int) -> float:
@@ -42,11 +42,11 @@
     >>> find_interval_factor(4), find_interval_factor(6), find_interval_factor(2_000)
     (1.0, 1.5, 2.7)
     """
-    return min(max(1.0, routers / _UNSTRETCHED_ROUTERS), _MAX_STRETCH)
+    return min(max(1.0, routers / _UNSTRETCHED_ROUTERS), _MAX_INTERVAL_FACTOR)
 
 
 @dataclass(frozen=True)
-class Pace:
+class WatchIntervals:
     """Durations for following one kind of object.
 
     Parameters
@@ -73,34 +73,34 @@
         Called with each object that exists, was written or was removed.
     settle
         Called after a list with the names of all existing objects.
-    scout
-        Another follower of the same store.  While the scout finds the store
+    probe
+        Another follower of the same store.  While the probe finds the store
         unreachable, this follower waits for it instead of making calls that would
         fail as well.
     seen
         When the store last answered.
-    stretch
+    interval_factor
         Factor on the durations, see `find_interval_factor`.
     """
 
     store: ObjectStore
     kind: str
-    pace: Pace
+    intervals: WatchIntervals
     clock: Clock
     journal: Journal
     change: Callable[[Change], None]
     settle: Callable[[set[str]], None] = lambda names: None
     seen: Millis = -1e12
     revision: int = 0
-    stretch: float = 1.0
-    scout: "Follower | None" = None
+    interval_factor: float = 1.0
+    probe: "Follower | None" = None
     _failures: int = 0
     _lost: bool = False
     _restart: bool = False
 
     def is_fresh(self) -> bool:
         """Tell whether the store answered recently."""
-        overdue = self.pace.wait * self.stretch + _WATCH_GRACE
+        overdue = self.intervals.wait * self.interval_factor + _WATCH_GRACE
         return not self._lost and self.clock.now() - self.seen < overdue
 
     def restart(self) -> None:
@@ -120,14 +120,14 @@
                 await self._rest()
 
     async def _rest(self) -> None:
-        """Wait after a failed call, and for the scout while it fails."""
+        """Wait after a failed call, and for the probe while it fails."""
         pause = min(_FIRST_PAUSE * _PAUSE_GROWTH**self._failures, _MAX_PAUSE)
         self._failures += 1
         await asyncio.sleep(pause / SECOND)
-        # The wait is limited, because the scout may itself hang on a connection.
+        # The wait is limited, because the probe may itself hang on a connection.
         deadline = self.clock.now() + _MAX_PAUSE
-        while self.scout and self.scout._lost and self.clock.now() < deadline:
-            await asyncio.sleep(_SCOUT_POLL_INTERVAL / SECOND)
+        while self.probe and self.probe._lost and self.clock.now() < deadline:
+            await asyncio.sleep(_PROBE_POLL_INTERVAL / SECOND)
 
     def _note_failure(self, error: AnvilshiftError) -> None:
         if not self._lost:
@@ -152,7 +152,7 @@
         self.revision = listing.revision
 
     async def _watch(self) -> None:
-        wait = self.pace.wait * self.stretch
+        wait = self.intervals.wait * self.interval_factor
         found = await self.store.watch([self.kind], self.revision, wait)
         self._note_answer()
         if found.too_old:
@@ -162,12 +162,14 @@
         for change in found.changes:
             self.change(change)
         self.revision = max(self.revision, found.revision)
-        if found.changes and self.pace.rest:
-            await asyncio.sleep(self.pace.rest * min(self.stretch, 2.0) / SECOND)
+        if found.changes and self.intervals.rest:
+            await asyncio.sleep(
+                self.intervals.rest * min(self.interval_factor, 2.0) / SECOND
+            )
 
 
 @dataclass
-class Register:
+class TargetEntries:
     """The targets' entries in the store, and which of them are missing.
 
     An entry may expire while its target runs, because the target could not renew it
@@ -203,14 +205,14 @@
         due = max(now, self.outage_until + _REGISTRATION_TIME)
         if name in self.bodies:
             self._missing_until.setdefault(name, due)
-        self.sweep()
+        self.remove_missing()
 
     def settle(self, names: set[str]) -> None:
         """Record as missing all entries that a complete list doesn't contain."""
         for name in set(self.bodies) - names:
             self.drop(name)
 
-    def sweep(self) -> None:
+    def remove_missing(self) -> None:
         """Remove entries that have been missing for long enough."""
         now = self.clock.now()
         for name, due in list(self._missing_until.items()):
--- a/anvilshift/gateway/limits.py
+++ b/anvilshift/gateway/limits.py
@@ -84,7 +84,7 @@
             return
         if limit.differs_significantly(known):
             self._apply_limit(target, limit, id=identity)
-            self.peers.tell(self.describe(target, limit))
+            self.peers.broadcast(self.describe(target, limit))
             return
         target.limit = limit
         if known is not None and limit.rate != known.rate:
@@ -120,7 +120,7 @@
         wait = min(pause, _MAX_PAUSE)
         self.journal.write("target_paused", target=name, wait=wait, id=identity)
         self._pause(target, wait)
-        self.peers.tell(Paused(name, target.info.born, wait))
+        self.peers.broadcast(Paused(name, target.info.born, wait))
 
     def apply_pause(self, message: Paused) -> None:
         """Apply a pause that a target announced to another router."""
@@ -174,7 +174,7 @@
         peer = self.peers.routers.get(router)
         return peer.beat.ip if peer else None
 
-    def note_routers(self, names: Collection[str], leaving: Collection[str]) -> None:
+    def update_routers(self, names: Collection[str], leaving: Collection[str]) -> None:
         """Update which routers are present and which of them are leaving."""
         before = self.presence.list_issuers()
         if not self.presence.update(names or {self.own}, leaving, self.clock.now()):
--- a/anvilshift/gateway/node.py
+++ b/anvilshift/gateway/node.py
@@ -7,7 +7,7 @@
 
 from anvilshift.core.allocators import AllocatorMap
 from anvilshift.core.clock import SECOND, Clock, Millis
-from anvilshift.core.ejection import Health, State
+from anvilshift.core.ejection import Health, HealthState
 from anvilshift.core.endpoints import Endpoint, choose_endpoints
 from anvilshift.core.errors import AnvilshiftError, ExecutionState
 from anvilshift.core.identity import make_identity
@@ -18,11 +18,11 @@
 from anvilshift.gateway.attempts import Sender
 from anvilshift.gateway.border import Dialect
 from anvilshift.gateway.conversation import PeerMessenger
-from anvilshift.gateway.following import Follower, Pace, find_interval_factor
+from anvilshift.gateway.following import Follower, WatchIntervals, find_interval_factor
 from anvilshift.gateway.journal import Journal
 from anvilshift.gateway.limits import RateLimits
 from anvilshift.gateway.passing import RequestHandler
-from anvilshift.gateway.peers import Hooks, Peers
+from anvilshift.gateway.peers import PeerCallbacks, Peers
 from anvilshift.gateway.permits import Permits
 from anvilshift.gateway.recording import Recorder
 from anvilshift.gateway.reserving import Reservations
@@ -35,8 +35,8 @@
 from anvilshift.wire.messages import HttpRequest, Limits
 from anvilshift.wire.server import CallerGoneError, HttpServer, Responder, render_error
 
-_CONFIGURATION_PACE = Pace(wait=1.5 * SECOND)
-_TARGETS_PACE = Pace(wait=1.5 * SECOND, rest=500.0)
+_CONFIGURATION_INTERVALS = WatchIntervals(wait=1.5 * SECOND)
+_TARGETS_INTERVALS = WatchIntervals(wait=1.5 * SECOND, rest=500.0)
 """Engines renew their entries many times a second, so changes are read in batches.
 An engine announces its departure two seconds ahead; a rest of 500 ms uses half a
 second of these."""
@@ -155,7 +155,7 @@
         self.configuration_follower = Follower(
             store,
             dialect.configuration_kind,
-            _CONFIGURATION_PACE,
+            _CONFIGURATION_INTERVALS,
             clock,
             journal,
             self._apply_change,
@@ -163,13 +163,13 @@
         self.target_follower = Follower(
             store,
             dialect.targets_kind,
-            _TARGETS_PACE,
+            _TARGETS_INTERVALS,
             clock,
             journal,
             self.targets.apply_change,
-            self.targets.register.settle,
+            self.targets.entries.settle,
         )
-        self.target_follower.scout = self.configuration_follower
+        self.target_follower.probe = self.configuration_follower
         self.server = HttpServer(self.handle)
         self.in_flight = 0
         self.leaving = False
@@ -193,7 +193,7 @@
             lambda: self.leaving,
             lambda: self.configuration_follower.is_fresh(),
         )
-        self.peers.hooks = Hooks(
+        self.peers.hooks = PeerCallbacks(
             messenger.handle_message,
             messenger.handle_router_loss,
             messenger.make_heartbeat,
@@ -346,21 +346,21 @@
 
     def _run_periodic_work(self, now: Millis) -> None:
         if not self.target_follower.is_fresh():
-            self.targets.register.note_outage()
-        self.targets.register.sweep()
+            self.targets.entries.note_outage()
+        self.targets.entries.remove_missing()
         self.messenger.update_routers()
         routers = 1 + len(self.peers.list_present())
         self.shared.retries.limit(self.settings.find_retry_reserve(routers))
         for follower in (self.configuration_follower, self.target_follower):
-            follower.stretch = find_interval_factor(routers)
+            follower.interval_factor = find_interval_factor(routers)
         self.recorder.routers = self.allocators.count_allocators()
         self.allotter.balances.set_provable(self.recorder.can_prove_age())
         self.messenger.return_unused_tokens()
         self.loads.expire(now)
-        self.permits.sweep(now)
+        self.permits.run_checks(now)
         for target in self.loads.targets.values():
             health = target.health
-            if health.state is State.EJECTED and now >= health.until:
+            if health.state is HealthState.EJECTED and now >= health.until:
                 health.probe(now)
 
     async def stop(self) -> None:
--- a/anvilshift/gateway/passing.py
+++ b/anvilshift/gateway/passing.py
@@ -11,7 +11,7 @@
 
 from anvilshift.core.choosing import Choice, Demand, choose_engine, choose_plain_target
 from anvilshift.core.clock import SECOND, Millis
-from anvilshift.core.ejection import State
+from anvilshift.core.ejection import HealthState
 from anvilshift.core.errors import (
     ANSWER_LATE,
     ENGINE_FAILED,
@@ -334,7 +334,7 @@
         # A target that accepts no connection is ejected at once; otherwise the next
         # request would fail there as well.
         unreachable = failure is Failure.NOT_SENT
-        if health.state is not State.EJECTED and (
+        if health.state is not HealthState.EJECTED and (
             unreachable or health.should_eject(0.0)
         ):
             health.eject(now, self.shared.rng)
--- a/anvilshift/gateway/peers.py
+++ b/anvilshift/gateway/peers.py
@@ -66,25 +66,25 @@
 
 
 @dataclass
-class Hooks:
+class PeerCallbacks:
     """Callbacks for messages from other routers and changes among them.
 
     Parameters
     ----------
-    hear
+    on_message
         Called with each message.
-    lose
+    on_router_lost
         Called with a router that is lost or replaced by a new incarnation.
     make_beat
         Returns the heartbeat to send; None while there is none to send.
-    greet
+    on_new_router
         Called with the first heartbeat of each new incarnation.
     """
 
-    hear: Callable[[Message], None] = lambda message: None
-    lose: Callable[[Peer], None] = lambda peer: None
+    on_message: Callable[[Message], None] = lambda message: None
+    on_router_lost: Callable[[Peer], None] = lambda peer: None
     make_beat: Callable[[], Beat | None] = lambda: None
-    greet: Callable[[Beat], None] = lambda beat: None
+    on_new_router: Callable[[Beat], None] = lambda beat: None
 
 
 @dataclass
@@ -107,7 +107,7 @@
     clock: Clock
     journal: Journal
     addresses: set[str] = field(default_factory=set)
-    hooks: Hooks = field(default_factory=Hooks)
+    hooks: PeerCallbacks = field(default_factory=PeerCallbacks)
     routers: dict[str, Peer] = field(default_factory=dict)
     _transport: asyncio.DatagramTransport | None = None
     _waiting: dict[frozenset[str], list[bytes]] = field(default_factory=dict)
@@ -142,17 +142,17 @@
         for message in messages:
             if isinstance(message, Beat):
                 self._hear_beat(message)
-            self.hooks.hear(message)
+            self.hooks.on_message(message)
 
     def _hear_beat(self, beat: Beat) -> None:
         known = self.routers.get(beat.router)
         if known is None or known.beat.incarnation != beat.incarnation:
             if known is not None:
-                self.hooks.lose(known)
+                self.hooks.on_router_lost(known)
             self.journal.write(
                 "peer_found", peer=beat.router, incarnation=beat.incarnation
             )
-            self.hooks.greet(beat)
+            self.hooks.on_new_router(beat)
             if known is None:
                 # In a large fleet a router that starts would otherwise discover most
                 # of the others seconds later.
@@ -167,7 +167,7 @@
         """Send a message to one router immediately."""
         self._send(encode(message), ip)
 
-    def tell(self, message: Message) -> None:
+    def broadcast(self, message: Message) -> None:
         """Send a message to every present router with the next datagram."""
         self._enqueue(message, _ALL_DOMAINS)
 
@@ -255,7 +255,7 @@
                 self.journal.write("peer_lost", peer=name, age=now - peer.heard)
                 del self.routers[name]
                 self._names_by_ip.pop(peer.beat.ip, None)
-                self.hooks.lose(peer)
+                self.hooks.on_router_lost(peer)
 
     def _list_far(self) -> set[str]:
         """Return the addresses of routers in other failure domains."""
--- a/anvilshift/gateway/permits.py
+++ b/anvilshift/gateway/permits.py
@@ -9,7 +9,7 @@
 
 from anvilshift.core.clock import SECOND, Clock, Millis
 from anvilshift.core.loadmap import LoadMap, TargetLoad
-from anvilshift.core.permits import TAKEOVER_DELAY, Bid, PermitQueue, State, Verdict
+from anvilshift.core.permits import TAKEOVER_DELAY, Bid, BidState, PermitQueue, Verdict
 from anvilshift.gateway.journal import Journal
 from anvilshift.gateway.limits import LimitCallbacks, RateLimits
 from anvilshift.gateway.messages import PermitAnswer, PermitAsk, PermitDropped
@@ -75,7 +75,7 @@
     def set_verdict(self, verdict: Verdict) -> None:
         """Store the issuer's answer, and end the wait if it is decisive."""
         self.verdict = verdict
-        if self.first or verdict.state is not State.QUEUED:
+        if self.first or verdict.state is not BidState.QUEUED:
             self.answered_event.set()
 
 
@@ -89,7 +89,7 @@
         Address at which this router receives messages.
     """
 
-    book: RateLimits
+    limits: RateLimits
     ip: str
     loads: LoadMap
     peers: Peers
@@ -102,7 +102,7 @@
     _reported_at: Millis = 0.0
 
     def __post_init__(self) -> None:
-        self.book.hooks = LimitCallbacks(self._serve, self._close_permit_queue)
+        self.limits.hooks = LimitCallbacks(self._serve, self._close_permit_queue)
 
     def handle_suspension(self) -> None:
         """Issue no permits for a while after this process was suspended."""
@@ -131,14 +131,14 @@
             verdict = await self._wait(pending)
         finally:
             del self._pending[request.run]
-        if first and verdict.state is not State.GRANTED:
+        if first and verdict.state is not BidState.GRANTED:
             self.journal.write(
                 "permit_held_back",
                 id=request.identity,
                 target=pending.target,
                 state=verdict.state.value,
                 wait=round(verdict.wait, 1),
-                issuer=self.book.find_issuer(pending.target),
+                issuer=self.limits.find_issuer(pending.target),
             )
         return verdict
 
@@ -164,7 +164,7 @@
         """Send an ask to the issuer, or decide it here if this router is the issuer."""
         now, request = self.clock.now(), pending.request
         pending.asked = now
-        issuer = self.book.find_issuer(pending.target)
+        issuer = self.limits.find_issuer(pending.target)
         ask = PermitAsk(
             request.run,
             pending.target,
@@ -174,27 +174,27 @@
             now - request.arrived,
             max(0.0, request.latest - now),
         )
-        if issuer == self.book.own:
+        if issuer == self.limits.own:
             self._decide(ask)
             return
-        ip, target = self.book.find_ip(issuer), self.loads.targets.get(pending.target)
+        ip, target = self.limits.find_ip(issuer), self.loads.targets.get(pending.target)
         if ip is None or target is None:
             return
         if target.limit is not None and pending.verdict is None:
             # An issuer that doesn't know the limit would grant every ask.
-            self.peers.send(self.book.describe(target, target.limit), ip)
+            self.peers.send(self.limits.describe(target, target.limit), ip)
         self.peers.send(ask, ip)
 
     def _report_unanswered(self, pending: _PendingAsk) -> Verdict:
-        issuer = self.book.find_issuer(pending.target)
+        issuer = self.limits.find_issuer(pending.target)
         self.journal.write("issuer_unheard", target=pending.target, issuer=issuer)
-        return Verdict(pending.request.run, State.QUEUED, _UNANSWERED_WAIT)
+        return Verdict(pending.request.run, BidState.QUEUED, _UNANSWERED_WAIT)
 
     def withdraw(self, run: str, name: str) -> None:
         """Withdraw the ask of a request that no longer waits for a permit."""
-        issuer = self.book.find_issuer(name)
-        ip = self.book.find_ip(issuer)
-        if issuer == self.book.own:
+        issuer = self.limits.find_issuer(name)
+        ip = self.limits.find_ip(issuer)
+        if issuer == self.limits.own:
             self.handle_withdrawal(PermitDropped(run, name))
         elif ip is not None:
             self.peers.send(PermitDropped(run, name), ip)
@@ -207,13 +207,13 @@
         if self.clock.now() - pending.asked > 2 * _RENEWAL_INTERVAL:
             # This process was suspended, and the permit was for an earlier time.
             return
-        pending.set_verdict(Verdict(answer.run, State(answer.state), answer.wait))
+        pending.set_verdict(Verdict(answer.run, BidState(answer.state), answer.wait))
 
     # Requests of all routers, at the issuer
 
     def handle_ask(self, ask: PermitAsk) -> None:
         """Answer another router's ask."""
-        if self.book.find_issuer(ask.target) != self.book.own:
+        if self.limits.find_issuer(ask.target) != self.limits.own:
             return
         self._askers[ask.run] = ask.ip
         self._decide(ask)
@@ -239,7 +239,7 @@
             now,
         )
         permit_queue = self._find_permit_queue(target)
-        self._answer(permit_queue.ask(bid, self.book.find_rate(target), now))
+        self._answer(permit_queue.ask(bid, self.limits.find_rate(target), now))
         self._set_timer(ask.target)
 
     def _find_permit_queue(self, target: TargetLoad) -> PermitQueue:
@@ -252,7 +252,7 @@
 
     def _answer(self, verdict: Verdict) -> None:
         """Send a verdict to its request, at this or another router."""
-        queued = verdict.state is State.QUEUED
+        queued = verdict.state is BidState.QUEUED
         find = self._askers.get if queued else self._askers.pop
         ip = find(verdict.run, None)
         if ip is not None:
@@ -271,7 +271,7 @@
         )
         if permit_queue is None or target is None:
             return
-        rate, now = self.book.find_rate(target), self.clock.now()
+        rate, now = self.limits.find_rate(target), self.clock.now()
         for verdict in permit_queue.grant_due(rate, now, _BID_TIMEOUT):
             self._answer(verdict)
         self._set_timer(name)
@@ -290,16 +290,16 @@
         if permit_queue is None or target is None or not permit_queue.waiting:
             return
         now = self.clock.now()
-        due = permit_queue.find_next(self.book.find_rate(target), now)
+        due = permit_queue.find_next(self.limits.find_rate(target), now)
         loop = asyncio.get_running_loop()
         delay = (due - now) / SECOND
         self._timers[name] = loop.call_later(delay, self._serve, name)
 
     # Periodic work
 
-    def sweep(self, now: Millis) -> None:
+    def run_checks(self, now: Millis) -> None:
         """Remove expired limits and unused state; log the use of limits each second."""
-        self.book.remove_expired(now)
+        self.limits.remove_expired(now)
         for name in list(self._permit_queues):
             target = self.loads.targets.get(name)
             if target is None or target.limit is None:
@@ -320,7 +320,7 @@
     def _report(self, now: Millis) -> None:
         for name, permit_queue in self._permit_queues.items():
             target = self.loads.targets[name]
-            rate = self.book.find_rate(target)
+            rate = self.limits.find_rate(target)
             if rate is None:
                 continue
             self.journal.write(
--- a/anvilshift/gateway/permitsession.py
+++ b/anvilshift/gateway/permitsession.py
@@ -4,7 +4,7 @@
 
 from anvilshift.core.choosing import Choice
 from anvilshift.core.clock import SECOND, Millis
-from anvilshift.core.permits import State
+from anvilshift.core.permits import BidState
 from anvilshift.gateway.permits import Request
 from anvilshift.gateway.shared import Shared
 
@@ -87,11 +87,11 @@
         )
         verdict = await permits.ask(choice.target, request, first)
         now = self._shared.clock.now()
-        if verdict.state is State.QUEUED:
+        if verdict.state is BidState.QUEUED:
             self._permits_expected_at[name] = now + verdict.wait
             return None
         self._pending_ask = None
-        if verdict.state is State.REFUSED:
+        if verdict.state is BidState.REFUSED:
             self._retry_at[name] = now + verdict.wait
             return None
         return run
--- a/anvilshift/gateway/recording.py
+++ b/anvilshift/gateway/recording.py
@@ -180,7 +180,7 @@
         resent = self._unanswered
         record = resent or self._make_record()
         if resent is None:
-            self.balances.pace(record)
+            self.balances.limit_by_record(record)
         self._unanswered = record
         try:
             stored = await self.store.put(
--- a/anvilshift/gateway/shared.py
+++ b/anvilshift/gateway/shared.py
@@ -6,7 +6,7 @@
 
 from anvilshift.core.blame import CrashBlame
 from anvilshift.core.clock import Clock, Millis
-from anvilshift.core.durations import Mean
+from anvilshift.core.durations import DecayingMean
 from anvilshift.core.errors import NOT_READY, AnvilshiftError
 from anvilshift.core.retries import RetryBudget
 from anvilshift.core.routing import RouteTable
@@ -55,7 +55,7 @@
     blame: CrashBlame = field(default_factory=CrashBlame)
     on_target_lost: Callable[[str], None] = lambda target: None
     on_target_replaced: Callable[[str], None] = lambda target: None
-    work: dict[str, Mean] = field(default_factory=dict)
+    work: dict[str, DecayingMean] = field(default_factory=dict)
     runs: int = 0
     ending: bool = False
 
@@ -79,6 +79,6 @@
         self.runs += 1
         return f"{self.router}/{self.runs}"
 
-    def find_service_time(self, service: str) -> Mean:
+    def find_service_time(self, service: str) -> DecayingMean:
         """Return the mean time of a plain service's requests."""
-        return self.work.setdefault(service, Mean(_DEFAULT_WORK))
+        return self.work.setdefault(service, DecayingMean(_DEFAULT_WORK))
--- a/anvilshift/gateway/targetregistry.py
+++ b/anvilshift/gateway/targetregistry.py
@@ -6,7 +6,7 @@
 from anvilshift.core.clock import Clock
 from anvilshift.core.loadmap import LoadMap
 from anvilshift.gateway.border import Dialect
-from anvilshift.gateway.following import Register
+from anvilshift.gateway.following import TargetEntries
 from anvilshift.gateway.journal import Journal
 from anvilshift.gateway.messages import Leaving
 from anvilshift.gateway.peers import Peers
@@ -35,12 +35,12 @@
     _unreadable: set[str] = field(default_factory=set)
 
     def __post_init__(self) -> None:
-        self.register = Register(self.clock, self.remove)
+        self.entries = TargetEntries(self.clock, self.remove)
 
     def apply_change(self, change: Change) -> None:
         """Apply a target's written or removed entry."""
         if change.body is None:
-            self.register.drop(change.name)
+            self.entries.drop(change.name)
             return
         info = self.dialect.read_target(change.name, change.body, self.clock.now())
         if info is None:
@@ -49,7 +49,7 @@
                 self.journal.write("target_unreadable", target=change.name)
             self.loads.remove(change.name, self.clock.now())
             return
-        self.register.put(change.name, change.body)
+        self.entries.put(change.name, change.body)
         known = self.loads.targets.get(change.name)
         if known is None or info.is_other_start(known.info):
             self.journal.write(
@@ -66,7 +66,7 @@
             info = replace(info, leaving=True)
         elif info.leaving and not known.info.leaving:
             self.journal.write("target_leaving", target=info.name)
-            self.peers.tell(Leaving(info.name))
+            self.peers.broadcast(Leaving(info.name))
         if known is None or known.info != info:
             self.loads.declare(info)
 
@@ -74,5 +74,5 @@
         """Remove a target, and announce to the other routers that it is gone."""
         self.on_target_lost(name)
         self.journal.write("target_gone", target=name)
-        self.peers.tell(Leaving(name))
+        self.peers.broadcast(Leaving(name))
         self.loads.remove(name, self.clock.now())
--- a/anvilshift/router/budgets.py
+++ b/anvilshift/router/budgets.py
@@ -201,7 +201,7 @@
         for client in await self._all_ledger_clients():
             await client.sealing.seal(incarnation)
 
-    async def sweep(self, incarnations: Collection[str]) -> None:
+    async def seal_lost(self, incarnations: Collection[str]) -> None:
         """Seal holders of unknown routers and resolve tokens in doubt.
 
         A router that dies before its first record is written, or whose record was
--- a/anvilshift/router/claimed.py
+++ b/anvilshift/router/claimed.py
@@ -40,15 +40,15 @@
 class ClaimedRuns:
     """Claimed work that runs at this router, by the identity of its job."""
 
-    def __init__(self, book: ClaimStore, clock: Clock) -> None:
-        self.book = book
+    def __init__(self, claims: ClaimStore, clock: Clock) -> None:
+        self.claims = claims
         self._clock = clock
         self._entries: dict[str, _Entry] = {}
 
     @property
     def in_flight(self) -> int:
         """Return the number of claims that are running or have no recorded end."""
-        return len(self._entries) + self.book.unrecorded
+        return len(self._entries) + self.claims.unrecorded
 
     def list_jobs(self) -> list[Job]:
         """Return the jobs whose work is still running."""
@@ -96,7 +96,7 @@
     async def _run_once(
         self, job: Job, work: Callable[[], Awaitable[Answer]]
     ) -> Answer:
-        claim = await self.book.acquire(job)
+        claim = await self.claims.acquire(job)
         if claim.state is ClaimState.DONE:
             if claim.answer is None:
                 raise AnvilshiftError(NOT_RECORDED, "it ran; its answer wasn't stored")
@@ -105,18 +105,18 @@
             answer = await work()
         except AnvilshiftError as error:
             if error.code.fate is ExecutionState.NOT_RUN:
-                self.book.record_later(job.identity, claim.void())
+                self.claims.record_later(job.identity, claim.void())
                 raise
             if error.code.fate is ExecutionState.RAN:
-                self.book.record_later(job.identity, claim.mark_done(None))
+                self.claims.record_later(job.identity, claim.mark_done(None))
                 raise
-            self.book.record_later(job.identity, claim.mark_lost())
+            self.claims.record_later(job.identity, claim.mark_lost())
             logging.warning("outcome unknown request=%s %s", job.identity, error)
             raise AnvilshiftError(OUTCOME_UNKNOWN, error.detail) from error
         except BaseException:
-            self.book.record_later(job.identity, claim.mark_lost())
+            self.claims.record_later(job.identity, claim.mark_lost())
             raise
         # The work ran.  The caller gets the answer even if the record fails, and the
         # claim stays in place, so that no router runs the work again.
-        await self.book.record(job.identity, claim.mark_done(answer))
+        await self.claims.record(job.identity, claim.mark_done(answer))
         return answer
--- a/anvilshift/router/claims.py
+++ b/anvilshift/router/claims.py
@@ -14,7 +14,7 @@
 
 from absl import logging
 
-from anvilshift.core.claims import Claim, ClaimState, Verdict, end, judge
+from anvilshift.core.claims import Claim, ClaimState, Decision, decide, end
 from anvilshift.core.clock import SECOND, Clock, Millis
 from anvilshift.core.errors import (
     KEY_REUSED,
@@ -112,13 +112,13 @@
                 if held_elsewhere:
                     raise AnvilshiftError(OUTCOME_UNKNOWN, error.detail) from error
                 raise
-            verdict = judge(found, proposed)
-            if verdict is Verdict.RUN:
+            decision = decide(found, proposed)
+            if decision is Decision.RUN:
                 self._running.add(proposed.token)
                 return proposed
-            if verdict is Verdict.REUSED:
+            if decision is Decision.REUSED:
                 raise AnvilshiftError(KEY_REUSED)
-            if found is not None and verdict is Verdict.ANSWER:
+            if found is not None and decision is Decision.ANSWER:
                 return found
             if found is None or not await self._may_still_end(found, job, pause):
                 raise AnvilshiftError(OUTCOME_UNKNOWN)
@@ -250,9 +250,9 @@
             interval = _SWEEP_INTERVAL_S * self._rng.uniform(0.5, 1.5)
             await asyncio.sleep(interval)
             with contextlib.suppress(AnvilshiftError):
-                await self.sweep()
+                await self.delete_expired()
 
-    async def sweep(self, pause: float = _DELETE_PAUSE_S) -> int:
+    async def delete_expired(self, pause: float = _DELETE_PAUSE_S) -> int:
         """Delete expired claims and return their number.
 
         A pause in seconds after each claim limits the calls to the platform.
--- a/anvilshift/router/fleet.py
+++ b/anvilshift/router/fleet.py
@@ -258,7 +258,7 @@
         if not self.lease.holds(now):
             return
         with contextlib.suppress(AnvilshiftError):
-            await self._budgets.sweep(self._list_incarnations())
+            await self._budgets.seal_lost(self._list_incarnations())
         for member in lost:
             try:
                 await self._seal(member)
@@ -277,7 +277,7 @@
             return
         logging.warning("sealing lost router=%s", member.name)
         await self._budgets.seal(member.incarnation)
-        await self._budgets.sweep(self._list_incarnations())
+        await self._budgets.seal_lost(self._list_incarnations())
         self._sealed.add(member.incarnation)
 
     async def _remove(self, member: Member) -> None:
--- a/anvilshift/router/node.py
+++ b/anvilshift/router/node.py
@@ -380,8 +380,8 @@
 
     def _count_routers(self) -> None:
         """Tell the dispatcher with how many routers it shares the targets."""
-        self.permits.note_routers()
-        self.relocation_protocol.note_routers()
+        self.permits.update_routers()
+        self.relocation_protocol.update_routers()
         # One that lost its lease and its record may yet serve behind a cut.
         silent = self.fleet.is_partitioned() or self.permits.has_lost_routers()
         self.dispatcher.set_partitioned(silent)
--- a/anvilshift/router/permits.py
+++ b/anvilshift/router/permits.py
@@ -17,9 +17,9 @@
 from anvilshift.core.permits import (
     TAKEOVER_DELAY,
     Bid,
+    BidState,
     PermitQueue,
     RouterPresence,
-    State,
 )
 from anvilshift.core.pools import TargetView
 from anvilshift.core.ratelimits import SPAN
@@ -83,7 +83,7 @@
 
     # Assignment of issuers
 
-    def note_routers(self) -> None:
+    def update_routers(self) -> None:
         """Update which routers are connected; drop the desks whose issuer changed."""
         now = self._clock.now()
         member_statuses = self._sources.read_members().member_statuses.values()
@@ -160,7 +160,7 @@
             reply = await self._request_permit(want, run, began)
             now = self._clock.now()
             if (
-                reply.state == State.GRANTED.value
+                reply.state == BidState.GRANTED.value
                 and now - requested_at <= _MAX_REPLY_AGE
             ):
                 actions = self._dispatcher.use_permit(want.target, run, now)
@@ -170,7 +170,7 @@
                     # would be unused as well.
                     await asyncio.sleep(_RETRY_DELAY / SECOND)
                 return
-            if reply.state != State.QUEUED.value:
+            if reply.state != BidState.QUEUED.value:
                 self._sources.telemetry.count_permit(want.target, "held back")
                 logging.info(
                     "permit held back target=%s organisation=%s wait=%.0f",
@@ -192,14 +192,14 @@
             return await self.handle_permit(request)
         status = self._sources.read_members().member_statuses.get(issuer)
         if status is None:
-            return PermitReply(state=State.REFUSED.value)
+            return PermitReply(state=BidState.REFUSED.value)
         try:
             address = status.member.peer_address
             return await self._sources.link.permit(address, request)
         except PeerError as error:
             logging.info("no permit from issuer=%s %s", issuer, error)
             await asyncio.sleep(_RETRY_DELAY / SECOND)
-            return PermitReply(state=State.QUEUED.value)
+            return PermitReply(state=BidState.QUEUED.value)
 
     def _make_request(self, want: PermitNeed, run: str, began: Millis) -> PermitRequest:
         now, view = self._clock.now(), self._find_view(want.target)
@@ -224,7 +224,7 @@
         """Answer a request when a permit is available, or when the long poll ends."""
         view = self._find_view(request.target)
         if view is None or self._find_issuer(request.target) != self._own_name:
-            return PermitReply(state=State.QUEUED.value, wait_ms=_RETRY_DELAY)
+            return PermitReply(state=BidState.QUEUED.value, wait_ms=_RETRY_DELAY)
         now = self._clock.now()
         for sent in request.sent:
             view.meter.add(sent.run, now - sent.age_ms)
@@ -244,15 +244,15 @@
                 )
                 permit_queue.expire(now, _BID_EXPIRY)
                 verdict = permit_queue.ask(bid, self._find_rate(view, request), now)
-                if verdict.state is not State.QUEUED or now >= until:
+                if verdict.state is not BidState.QUEUED or now >= until:
                     return self._reply(request.target, verdict.state, verdict.wait)
                 step = max(1.0, min(verdict.wait, _CHECK_INTERVAL))
                 await asyncio.sleep(step / SECOND)
         finally:
             permit_queue.withdraw(request.run)
 
-    def _reply(self, target: str, state: State, wait: Millis) -> PermitReply:
-        if state is State.GRANTED:
+    def _reply(self, target: str, state: BidState, wait: Millis) -> PermitReply:
+        if state is BidState.GRANTED:
             self._sources.telemetry.count_permit(target, "issued")
         return PermitReply(state=state.value, wait_ms=wait)
 
--- a/anvilshift/router/progress.py
+++ b/anvilshift/router/progress.py
@@ -17,10 +17,10 @@
     --------
     >>> from anvilshift.core.errors import NO_ENGINE
     >>> progress = Progress()
-    >>> progress.tell(AnvilshiftError(NO_ENGINE)).code.fate.value
+    >>> progress.correct_error(AnvilshiftError(NO_ENGINE)).code.fate.value
     'not run'
     >>> progress.sent = True
-    >>> progress.tell(AnvilshiftError(NO_ENGINE)).code.fate.value
+    >>> progress.correct_error(AnvilshiftError(NO_ENGINE)).code.fate.value
     'unknown'
     """
 
@@ -28,7 +28,7 @@
         self.sent = False
         self.ran = False
 
-    def tell(self, error: AnvilshiftError) -> AnvilshiftError:
+    def correct_error(self, error: AnvilshiftError) -> AnvilshiftError:
         """Return the error, or one whose fate is true for all attempts.
 
         If the second attempt is refused because there is no engine, too few tokens
@@ -44,4 +44,4 @@
     def make_deadline_error(self) -> AnvilshiftError:
         """Return the error for work whose deadline has passed."""
         code = ANSWER_LATE if self.sent else PAST_DEADLINE
-        return self.tell(AnvilshiftError(code))
+        return self.correct_error(AnvilshiftError(code))
--- a/anvilshift/router/relocationprotocol.py
+++ b/anvilshift/router/relocationprotocol.py
@@ -46,7 +46,7 @@
     _known_incarnations: dict[str, str] = field(default_factory=dict)
     _tasks: set[asyncio.Task[bool]] = field(default_factory=set)
 
-    def note_routers(self) -> None:
+    def update_routers(self) -> None:
         """Update the known routers, and report lost ones to the dispatcher.
 
         A router is lost when its record disappeared or names another incarnation,
@@ -79,7 +79,7 @@
         bool
             Whether every other router prepared the relocation.
         """
-        self.note_routers()
+        self.update_routers()
         before = self._list_incarnations()
         answers = await asyncio.gather(
             *(
--- a/anvilshift/router/runs.py
+++ b/anvilshift/router/runs.py
@@ -164,15 +164,15 @@
                 await self._attempt_until_complete()
                 await self._settle()
         except AnvilshiftError as error:
-            self.error = self._progress.tell(error)
+            self.error = self._progress.correct_error(error)
         except TimeoutError:
             self.error = self._progress.make_deadline_error()
         except asyncio.CancelledError:
             stopped = AnvilshiftError(OVERLOADED, "the run was stopped", SECOND)
-            self.error = self._progress.tell(stopped)
+            self.error = self._progress.correct_error(stopped)
         except Exception:
             logging.exception("run failed request=%s", job.identity)
-            self.error = self._progress.tell(AnvilshiftError(ENGINE_FAILED))
+            self.error = self._progress.correct_error(AnvilshiftError(ENGINE_FAILED))
         finally:
             self._end()
 
--- a/anvilshift/router/services.py
+++ b/anvilshift/router/services.py
@@ -62,7 +62,7 @@
             error = self._progress.make_deadline_error()
             raise error from cause
         except AnvilshiftError as cause:
-            error = self._progress.tell(cause)
+            error = self._progress.correct_error(cause)
             raise error from cause
         finally:
             self._end(error)
--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -93,7 +93,7 @@
     "ejection": (
         Patch(
             "gateway/passing.py",
-            "if health.state is not State.EJECTED and",
+            "if health.state is not HealthState.EJECTED and",
             "if False and",
         ),
     ),
--- a/bench/budgets.py
+++ b/bench/budgets.py
@@ -317,7 +317,7 @@
     await fleet.all_router_budgets[1].seal("r0-a")
     sealed = sum(a.doubt for a in fleet.ledger.accounts.values())
     for router_budgets in fleet.all_router_budgets[1:]:
-        await router_budgets.sweep([f"r{n}-a" for n in range(ROUTERS)])
+        await router_budgets.seal_lost([f"r{n}-a" for n in range(ROUTERS)])
     left = sum(a.doubt for a in fleet.ledger.accounts.values())
     return (
         f"{load.name:11} {way:18} allowance {load.allowance}: the dead held {held}, "
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -119,7 +119,7 @@
 def _forget_lost_routers() -> Iterator[None]:
     with (
         mock.patch.object(RouterBudgets, "seal", _do_nothing),
-        mock.patch.object(RouterBudgets, "sweep", _do_nothing),
+        mock.patch.object(RouterBudgets, "seal_lost", _do_nothing),
     ):
         yield
 
@@ -209,7 +209,7 @@
     Mutant(
         "any claim may be run again",
         ("order runs at most once",),
-        _replace(claims, "judge", lambda found, request: claims.Verdict.RUN),
+        _replace(claims, "decide", lambda found, request: claims.Decision.RUN),
     ),
     Mutant(
         "a removed router serves on",
--- a/tests/core/test_balances.py
+++ b/tests/core/test_balances.py
@@ -141,7 +141,9 @@
         request while tokens that they had transferred stay unused.
         """
         balances = make_balances(ceiling=1_000)
-        balances.pace(UseRecord("r1", "ip", 0.0, uses=balances.make_uses(0.0)))
+        balances.limit_by_record(
+            UseRecord("r1", "ip", 0.0, uses=balances.make_uses(0.0))
+        )
         self.assertTrue(balances.must_record_use())
         balance = balances.balances[POUNDS]
         balance.rank = None
@@ -164,7 +166,9 @@
 
     def test_a_request_waits_for_those_before_it(self):
         balances = make_balances(ceiling=1_000)
-        balances.pace(UseRecord("r1", "ip", 0.0, uses={POUNDS: Use(0, 100, 1_000)}))
+        balances.limit_by_record(
+            UseRecord("r1", "ip", 0.0, uses={POUNDS: Use(0, 100, 1_000)})
+        )
         for key in ("a", "b"):
             self.assertFalse(balances.reserve(POUNDS, key, 200, 0.0))
         # Of the other 900 tokens, 100 unlock after 8 s * sqrt(1/9) and 300 after
@@ -184,16 +188,18 @@
         balances = make_balances(ceiling=1_000)
         uses = [Use(0, 300, 1_000), Use(100, 50, 900)]
         records = [UseRecord("r1", "ip", 0.0, uses={POUNDS: use}) for use in uses]
-        balances.pace(records[0])
+        balances.limit_by_record(records[0])
         self.assertEqual(balances.balances[POUNDS].available(0.0), 300)
-        balances.pace(records[1])
+        balances.limit_by_record(records[1])
         self.assertEqual(balances.balances[POUNDS].available(0.0), 150)
         balances.confirm_record(records[0])
         self.assertEqual(balances.balances[POUNDS].available(0.0), 300)
 
     def test_a_paced_router_lacks_nothing_and_draws_nothing(self):
         balances = make_balances(ceiling=1_000)
-        balances.pace(UseRecord("r1", "ip", 0.0, uses={POUNDS: Use(0, 100, 1_000)}))
+        balances.limit_by_record(
+            UseRecord("r1", "ip", 0.0, uses={POUNDS: Use(0, 100, 1_000)})
+        )
         self.assertFalse(balances.reserve(POUNDS, "a", 400, 0.0))
         self.assertFalse(balances.has_drawable_waiters(0.0))
         # A third of the other 900 tokens unlocks after 8 s * sqrt(1/3).
--- a/tests/core/test_claims.py
+++ b/tests/core/test_claims.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from anvilshift.core.claims import Answer, Claim, Verdict, end, judge
+from anvilshift.core.claims import Answer, Claim, Decision, decide, end
 
 OPEN = Claim("digest", "r1", "t1", at=0)
 
@@ -16,26 +16,26 @@
         second request's own after a lost answer, and a truck would be booked twice.
         """
         second = Claim("digest", "r1", "t2", at=0)
-        self.assertEqual(judge(OPEN, second), Verdict.WAIT)
+        self.assertEqual(decide(OPEN, second), Decision.WAIT)
 
     def test_own_claim_runs_after_a_lost_answer_of_the_store(self):
-        self.assertEqual(judge(OPEN, OPEN), Verdict.RUN)
+        self.assertEqual(decide(OPEN, OPEN), Decision.RUN)
 
     def test_a_key_with_another_body_is_refused(self):
         other = Claim("another digest", "r2", "t2", at=0)
-        self.assertEqual(judge(OPEN, other), Verdict.REUSED)
+        self.assertEqual(decide(OPEN, other), Decision.REUSED)
 
     def test_finished_work_is_answered_from_the_record(self):
         done = OPEN.mark_done(Answer(201, "application/json", "{}"))
-        self.assertEqual(judge(done, Claim("digest", "r2", "t2", 0)), Verdict.ANSWER)
+        self.assertEqual(decide(done, Claim("digest", "r2", "t2", 0)), Decision.ANSWER)
 
     def test_work_that_was_never_sent_may_be_claimed_again(self):
         request = Claim("digest", "r2", "t2", at=0)
-        self.assertEqual(judge(OPEN.void(), request), Verdict.RUN)
+        self.assertEqual(decide(OPEN.void(), request), Decision.RUN)
 
     def test_lost_work_is_not_waited_for(self):
         request = Claim("digest", "r2", "t2", at=0)
-        self.assertEqual(judge(OPEN.mark_lost(), request), Verdict.LOST)
+        self.assertEqual(decide(OPEN.mark_lost(), request), Decision.LOST)
 
 
 class EndTest(unittest.TestCase):
--- a/tests/gateway/permitfleet.py
+++ b/tests/gateway/permitfleet.py
@@ -74,7 +74,7 @@
             if name != self.name
         }
 
-    def tell(self, message) -> None:
+    def broadcast(self, message) -> None:
         for name in list(self.fleet.nodes):
             if name != self.name:
                 self.send(message, name)
@@ -169,7 +169,7 @@
         fleet, sent = self.fleet, self.fleet.clock.now()
         self.loads.send(ENGINE, run, Prompt(), 0, sent, 0)
         if self.peers.small:
-            self.peers.tell(Sent(run, ENGINE, (), 0, 0, 0, False))
+            self.peers.broadcast(Sent(run, ENGINE, (), 0, 0, 0, False))
         await asyncio.sleep(fleet.rng.uniform(0.001, 0.01))
         fleet.engine.arrivals.append(fleet.clock.now() / 1_000.0)
         fleet.senders.append(self.name)
@@ -186,7 +186,7 @@
         while True:
             await asyncio.sleep(_SWEEP_INTERVAL_S)
             if self.running.is_set():
-                self.permits.sweep(self.fleet.clock.now())
+                self.permits.run_checks(self.fleet.clock.now())
 
     async def keep_calling(self, rate: float, patience: float) -> None:
         """Start requests at random intervals, `rate` per second on average."""
@@ -232,7 +232,7 @@
         node.start_task(node.sweep())
         if self.rate:
             node.start_task(node.keep_calling(self.rate, self.patience))
-        self.note_routers()
+        self.update_routers()
         for other in self.nodes.values():
             if other is not node:
                 for limited in other.limits.list_limits():
@@ -245,7 +245,7 @@
         for node in self.nodes.values():
             node.start_task(node.keep_calling(rate, patience))
 
-    def note_routers(self) -> None:
+    def update_routers(self) -> None:
         """Tell every router which others are running and reachable."""
         for node in self.nodes.values():
             names = {
@@ -253,10 +253,10 @@
                 for other in self.nodes.values()
                 if other.running.is_set() and (other.name, node.name) not in self.cuts
             }
-            node.limits.note_routers(names | {node.name}, ())
+            node.limits.update_routers(names | {node.name}, ())
 
     def _note_later(self) -> None:
-        asyncio.get_running_loop().call_later(_DETECTION_S, self.note_routers)
+        asyncio.get_running_loop().call_later(_DETECTION_S, self.update_routers)
 
     def kill(self, name: str) -> None:
         node = self.nodes.pop(name)
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -3,7 +3,7 @@
 
 from anvilshift.core.clock import ManualClock
 from anvilshift.core.errors import PLATFORM_DOWN, AnvilshiftError
-from anvilshift.gateway.following import Follower, Pace, Register
+from anvilshift.gateway.following import Follower, TargetEntries, WatchIntervals
 from anvilshift.standins.memory import MemoryStore
 from anvilshift.standins.virtual import VirtualClock, run_virtual
 from tests.gateway.silent import SilentJournal
@@ -27,7 +27,7 @@
             follower = Follower(
                 store,
                 "config",
-                Pace(wait=1_000.0),
+                WatchIntervals(wait=1_000.0),
                 VirtualClock(),
                 SilentJournal(),
                 lambda change: seen.append((change.name, change.body)),
@@ -72,21 +72,21 @@
         """
 
         async def scenario(store, follower, seen):
-            scout = Follower(
+            probe = Follower(
                 store,
                 "targets",
-                Pace(wait=1_000.0),
+                WatchIntervals(wait=1_000.0),
                 VirtualClock(),
                 SilentJournal(),
                 lambda change: None,
             )
-            follower.scout = scout
-            task = asyncio.create_task(scout.run())
+            follower.probe = probe
+            task = asyncio.create_task(probe.run())
             await asyncio.sleep(2.0)
             store.calls.clear()
             store.faults.before = refuse_call
             await asyncio.sleep(8.0)
-            # The scout pauses for 0.3, 0.45, 0.675 and then 0.9 s, so it makes at most
+            # The probe pauses for 0.3, 0.45, 0.675 and then 0.9 s, so it makes at most
             # twelve calls.  The follower pauses for at least 1.2 s, so it makes at most
             # eight.
             self.assertLessEqual(store.calls.total(), 20)
@@ -117,11 +117,11 @@
     def setUp(self):
         self.clock = ManualClock(start=100_000.0)
         self.removed = []
-        self.register = Register(self.clock, self.removed.append)
+        self.entries = TargetEntries(self.clock, self.removed.append)
 
     def test_a_missing_entry_is_removed_at_once_without_an_outage(self):
-        self.register.put("e1", {})
-        self.register.drop("e1")
+        self.entries.put("e1", {})
+        self.entries.drop("e1")
         self.assertEqual(self.removed, ["e1"])
 
     def test_an_entry_that_expired_in_an_outage_may_return(self):
@@ -130,28 +130,28 @@
         If the entry counted as removed when the store is back, a healthy target would
         get no work for the two seconds that it needs to register again.
         """
-        self.register.put("e1", {})
-        self.register.note_outage()
+        self.entries.put("e1", {})
+        self.entries.note_outage()
         self.clock.advance(500.0)
-        self.register.drop("e1")
+        self.entries.drop("e1")
         self.clock.advance(1_500.0)
-        self.register.sweep()
+        self.entries.remove_missing()
         self.assertEqual(self.removed, [])
-        self.register.put("e1", {})
+        self.entries.put("e1", {})
         self.clock.advance(5_000.0)
-        self.register.sweep()
+        self.entries.remove_missing()
         self.assertEqual(self.removed, [])
 
     def test_an_entry_that_stays_missing_after_an_outage_is_removed(self):
-        self.register.put("e1", {})
-        self.register.note_outage()
-        self.register.drop("e1")
+        self.entries.put("e1", {})
+        self.entries.note_outage()
+        self.entries.drop("e1")
         self.clock.advance(2_300.0)
-        self.register.sweep()
+        self.entries.remove_missing()
         self.assertEqual(self.removed, ["e1"])
 
     def test_entries_missing_in_a_list_are_removed(self):
-        self.register.put("e1", {})
-        self.register.put("e2", {})
-        self.register.settle({"e2"})
+        self.entries.put("e1", {})
+        self.entries.put("e2", {})
+        self.entries.settle({"e2"})
         self.assertEqual(self.removed, ["e1"])
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -3,7 +3,7 @@
 
 from anvilshift.core.clock import ManualClock
 from anvilshift.gateway.messages import Beat, Ended, Held, Sent, decode, encode
-from anvilshift.gateway.peers import Hooks, Peers, find_beat_interval
+from anvilshift.gateway.peers import PeerCallbacks, Peers, find_beat_interval
 from tests.gateway.silent import SilentJournal
 
 DOMAINS = ("north", "south", "west")
@@ -37,7 +37,7 @@
         self.transport = RecordingTransport()
         self.peers._transport = self.transport
         own = Beat("own", "own.1", OWN_IP, "x", "north", 1, True, False, True)
-        self.peers.hooks = Hooks(make_beat=lambda: own)
+        self.peers.hooks = PeerCallbacks(make_beat=lambda: own)
 
     def hear(self, n: int) -> None:
         beat = make_beat(n)
@@ -47,7 +47,7 @@
         for n in range(4):
             self.hear(n)
         self.assertTrue(self.peers.small)
-        self.peers.tell(Ended("own/1", "e1"))
+        self.peers.broadcast(Ended("own/1", "e1"))
         await asyncio.sleep(0.01)
         self.assertEqual(len(self.transport.list_addresses("Ended")), 4)
 
--- a/tests/router/test_claimed.py
+++ b/tests/router/test_claimed.py
@@ -218,7 +218,7 @@
         for name, at in (("old", now - LIFETIME_S - 1), ("new", now - 1)):
             claim = Claim("digest", "r1-x", name, at)
             await self.store.put(CLAIM_KIND, name, encode(claim), 0)
-        self.assertEqual(await node.claims.sweep(pause=0.0), 1)
+        self.assertEqual(await node.claims.delete_expired(pause=0.0), 1)
         self.assertEqual(self.store.names(CLAIM_KIND), ["new"])
 
     async def test_answer_too_large_to_keep_says_ran(self):
--- a/tests/router/test_claims.py
+++ b/tests/router/test_claims.py
@@ -30,10 +30,10 @@
         address = await self.server.start(Address("127.0.0.1", 0))
         self.client = HttpClient()
         store = HttpObjectStore(self.client, address)
-        self.book = ClaimStore(store, MonotonicClock(), "r1-x", random.Random(0))
+        self.claims = ClaimStore(store, MonotonicClock(), "r1-x", random.Random(0))
 
     async def asyncTearDown(self):
-        self.book.close()
+        self.claims.close()
         self.client.close()
         await self.server.close()
 
@@ -57,28 +57,28 @@
             self.reply = reply
             async with asyncio.timeout(2):
                 with self.assertRaises(AnvilshiftError) as caught:
-                    await self.book.acquire(make_job())
+                    await self.claims.acquire(make_job())
             self.assertEqual(caught.exception.code.number, 5001, reply)
             self.assertEqual(caught.exception.code.fate.value, "not run")
             self.assertIsNotNone(caught.exception.retry_after)
-            self.book._unrecorded.clear()
+            self.claims._unrecorded.clear()
 
 
 class WaitingTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.store = MemoryStore()
-        self.book = self.make_book("r1-x")
+        self.claims = self.make_claims("r1-x")
 
-    def make_book(self, holder: str) -> ClaimStore:
-        book = ClaimStore(
+    def make_claims(self, holder: str) -> ClaimStore:
+        claims = ClaimStore(
             self.store,
             MonotonicClock(),
             holder,
             random.Random(holder),
             lambda h: True,
         )
-        self.addCleanup(book.close)
-        return book
+        self.addCleanup(claims.close)
+        return claims
 
     async def test_waiting_for_another_router_reads_a_few_objects(self):
         """A repeat that waits for another router must read the claim rarely.
@@ -86,10 +86,10 @@
         With a read every 20 ms, a hundred waiting orders would use up the platform's
         rate limit.
         """
-        await self.make_book("r2-x").acquire(make_job())
+        await self.make_claims("r2-x").acquire(make_job())
         before = self.store.calls["get"]
         with self.assertRaises(AnvilshiftError) as caught:
-            await self.book.acquire(make_job(span=2_000.0))
+            await self.claims.acquire(make_job(span=2_000.0))
         self.assertEqual(caught.exception.code.number, 4003)
         self.assertLessEqual(self.store.calls["get"] - before, 6)
         self.assertEqual(self.store.calls["list"], 0)
@@ -99,8 +99,8 @@
 
         The work may have run at that router, so *not run* could be wrong.
         """
-        await self.make_book("r2-x").acquire(make_job())
-        waiting = asyncio.create_task(self.book.acquire(make_job()))
+        await self.make_claims("r2-x").acquire(make_job())
+        waiting = asyncio.create_task(self.claims.acquire(make_job()))
         while self.store.calls["get"] < 3:
             await asyncio.sleep(0)
         self.store.faults.outage = True
@@ -109,18 +109,18 @@
         self.assertEqual(caught.exception.code.fate.value, "unknown")
 
     async def test_work_whose_own_task_is_gone_is_unknown_at_once(self):
-        claim = await self.book.acquire(make_job())
-        self.book._running.discard(claim.token)
+        claim = await self.claims.acquire(make_job())
+        self.claims._running.discard(claim.token)
         async with asyncio.timeout(1):
             with self.assertRaises(AnvilshiftError) as caught:
-                await self.book.acquire(make_job())
+                await self.claims.acquire(make_job())
         self.assertEqual(caught.exception.code.number, 4003)
 
     async def test_late_void_of_one_sending_leaves_the_next_alone(self):
-        first = await self.book.acquire(make_job())
-        await self.book.record("i", first.void())
-        await self.book.acquire(make_job())
-        await self.book.record("i", first.void())
+        first = await self.claims.acquire(make_job())
+        await self.claims.record("i", first.void())
+        await self.claims.acquire(make_job())
+        await self.claims.record("i", first.void())
         self.assertEqual(self.store.peek(CLAIM_KIND, "i")["state"], "open")
 
     async def test_sweep_passes_over_what_it_cannot_read(self):
@@ -128,5 +128,5 @@
         at = MonotonicClock().wall() - LIFETIME_S - 1
         old = Claim("digest", "r1-x", "t", at, ClaimState.DONE)
         await self.store.put(CLAIM_KIND, "b", encode(old), 0)
-        self.assertEqual(await self.book.sweep(pause=0.0), 1)
+        self.assertEqual(await self.claims.delete_expired(pause=0.0), 1)
         self.assertEqual(self.store.names(CLAIM_KIND), ["a"])
--- a/tests/router/test_claims_random.py
+++ b/tests/router/test_claims_random.py
@@ -35,7 +35,7 @@
         self.fates: Counter[str] = Counter()
         self.fates_by_key: dict[str, set[str]] = {}
         self.senders: set[int] = set()
-        self.books: list[ClaimStore] = []
+        self.claim_stores: list[ClaimStore] = []
         self.starts = 0
         self.routers = [self.start_router(index) for index in range(3)]
 
@@ -46,15 +46,15 @@
 
     @property
     def names(self) -> list[str]:
-        return [router.book._holder for router in self.routers]
+        return [router.claims._holder for router in self.routers]
 
     def start_router(self, index: int) -> ClaimedRuns:
         self.starts += 1
         clock, holder = VirtualClock(), f"r{index}-{self.starts}"
         view = self.store.view(holder)
-        book = ClaimStore(view, clock, holder, self.rng, self.is_running)
-        self.books.append(book)
-        return ClaimedRuns(book, clock)
+        claims = ClaimStore(view, clock, holder, self.rng, self.is_running)
+        self.claim_stores.append(claims)
+        return ClaimedRuns(claims, clock)
 
     def is_running(self, holder: str) -> bool:
         return holder in self.names
@@ -112,7 +112,7 @@
     def kill(self, index: int) -> None:
         """Stop a router without recording its state, and start a new one."""
         dead = self.routers[index]
-        dead.book.close()
+        dead.claims.close()
         for entry in dead._entries.values():
             entry.task.cancel()
         self.routers[index] = self.start_router(index)
@@ -125,8 +125,8 @@
         self.store.faults.cut.clear()
         self.store.faults.outage = False
         await asyncio.sleep(60)
-        for book in self.books:
-            book.close()
+        for claims in self.claim_stores:
+            claims.close()
 
 
 class RandomClaimsTest(unittest.TestCase):
--- a/tests/router/test_permits.py
+++ b/tests/router/test_permits.py
@@ -59,7 +59,7 @@
                 self.members = self.members.record_heartbeat(
                     other.member, HeartbeatStatus(), now
                 )
-        self.permits.note_routers()
+        self.permits.update_routers()
 
     async def ask(self, candidates, deadline: float) -> bool:
         """Submit work of one caller; tell whether it was sent to a target."""
--- a/tests/router/test_treasury.py
+++ b/tests/router/test_treasury.py
@@ -133,7 +133,7 @@
         bank.store.faults.cut = {"r1"}
         await first.settle("pounds", "a", "kosice", 60)
         await second.seal("r1-a")
-        await second.sweep(["r2-a"])
+        await second.seal_lost(["r2-a"])
         await asyncio.sleep(60)
         self.assertEqual(bank.account.spent, 60)
 
@@ -295,7 +295,7 @@
         await bank.open()
         await bank.treasuries[0].reserve("pounds", "a", 300)
         for _ in range(20):
-            await bank.treasuries[1].sweep([])
+            await bank.treasuries[1].seal_lost([])
             await asyncio.sleep(1)
         self.assertEqual(bank.account.free, 1_000)
 
