--- a/tests/router/test_stopping.py
+++ b/tests/router/test_stopping.py
@@ -1,9 +1,9 @@
-"""A planned stop serves on, finishes, settles, and names what it cut off."""
+"""A planned stop serves on, finishes requests, settles and logs what it cut off."""
 
 import asyncio
 
 from anvilshift.core.clock import SECOND
-from anvilshift.router.stopping import PlannedStop, StopSteps
+from anvilshift.router.stopping import PlannedStop, StopCallbacks
 from tests.router.nodes import VirtualTestCase
 
 REQUEST = ("request-1", "kosice")
@@ -17,14 +17,14 @@
         self.abandoned = asyncio.Event()
 
     def begin(self, grace=30 * SECOND):
-        steps = StopSteps(
+        callbacks = StopCallbacks(
             self.leave,
             self.refuse,
             self.settle,
             lambda: len(self.open),
             lambda: self.open,
         )
-        stop = PlannedStop(steps, 5 * SECOND, grace, self.abandoned)
+        stop = PlannedStop(callbacks, 5 * SECOND, grace, self.abandoned)
         return stop, asyncio.ensure_future(stop.run())
 
     def now(self):
@@ -41,7 +41,7 @@
             self.log.append(("settle", self.now()))
         return not self.platform_unavailable
 
-    async def test_new_work_is_taken_while_callers_may_keep_the_address(self):
+    async def test_new_work_is_taken_while_callers_may_cache_the_address(self):
         stop, running = self.begin()
         self.assertEqual(await running, 0)
         self.assertTrue(stop.settled)
@@ -58,7 +58,7 @@
         self.assertEqual(await running, 0)
         self.assertTrue(stop.settled)
 
-    async def test_grace_limit_names_what_is_cut_off(self):
+    async def test_grace_limit_logs_requests_that_are_cut_off(self):
         self.open = [REQUEST]
         _, running = self.begin(grace=8 * SECOND)
         with self.assertLogs("absl", "ERROR") as logs:
@@ -66,7 +66,7 @@
         self.assertAlmostEqual(self.now(), 8.0, places=5)
         self.assertIn("request=request-1 organisation=kosice", "".join(logs.output))
 
-    async def test_second_signal_ends_it_at_once(self):
+    async def test_second_signal_ends_the_stop_at_once(self):
         self.open = [REQUEST]
         _, running = self.begin()
         await asyncio.sleep(1)
@@ -82,8 +82,8 @@
         self.assertEqual(await running, 0)
         self.assertTrue(stop.settled)
 
-    async def test_outage_bounds_the_stop_and_is_told(self):
-        """The platform stays out: the grants can't go back before the end."""
+    async def test_outage_ends_the_stop_unsettled_after_the_grace(self):
+        """The platform stays unavailable, so the grants can't be given back in time."""
         self.platform_unavailable = True
         stop, running = self.begin()
         self.assertEqual(await running, 0)
