--- a/anvilshift/gateway/shares.py
+++ b/anvilshift/gateway/shares.py
@@ -1,7 +1,7 @@
 """Maintain this router's shares of the prepaid totals in the platform's store.
 
 One object holds the allotments of all organisations and changes only by
-conditional updates.  Requests spend from the wallet without a call to the store;
+conditional updates.  Requests spend from the balances without a call to the store;
 this module draws tokens and returns unused ones in the background.
 """
 
--- a/anvilshift/platform/records.py
+++ b/anvilshift/platform/records.py
@@ -125,7 +125,9 @@
 
     def convert(self) -> OrganisationBudget:
         """Return the gateway's organisation."""
-        return OrganisationBudget(self.name, tuple(self.api_keys), self.priority, self.reserved)
+        return OrganisationBudget(
+            self.name, tuple(self.api_keys), self.priority, self.reserved
+        )
 
 
 class _Limits(_Record):
--- a/anvilshift/router/budgets.py
+++ b/anvilshift/router/budgets.py
@@ -88,11 +88,11 @@
 
     @property
     def ledger_clients(self) -> Collection[LedgerClient]:
-        """Return the branches, one for each ledger object in use."""
+        """Return the ledger clients, one for each ledger object in use."""
         return self._ledger_clients.values()
 
     def start(self) -> None:
-        """Do nothing: each branch starts to commit when its ledger is first used."""
+        """Do nothing: each client starts to commit when its ledger is first used."""
 
     def configure(self, budgets: dict[str, Budget]) -> None:
         """Apply the declared budgets to the accounts that are open here."""
@@ -205,13 +205,13 @@
         """Seal holders of unknown routers and resolve tokens in doubt.
 
         A router that dies before its first record is written, or whose record was
-        deleted while its grants were still open, is on no roster.  Without this
+        deleted while its grants were still open, is in no member table.  Without this
         sweep nobody would return the tokens of its grants to the budget.
 
         Parameters
         ----------
         incarnations
-            Incarnations of the routers on the roster.  This router's own one is
+            Incarnations of the routers in the member table.  This router's own one is
             added.
         """
         known = {*incarnations, self._incarnation}
--- a/anvilshift/router/callers.py
+++ b/anvilshift/router/callers.py
@@ -21,7 +21,6 @@
 )
 from anvilshift.router.claimed import ClaimedRuns
 from anvilshift.router.claims import ClaimStore
-from anvilshift.router.accesscontrol import AccessControl
 from anvilshift.router.registry import Runs, continues_received
 from anvilshift.router.requests import Job, parse_chat_request, parse_service_call
 from anvilshift.router.runs import Shared
@@ -61,7 +60,7 @@
         self.calls = 0
         self._open_jobs: dict[asyncio.Task[None] | None, Job] = {}
         self._shared = shared
-        self._gate = gate
+        self._access_control = access_control
         self._is_ready = ready
         self._list_addresses = addresses
 
@@ -80,7 +79,7 @@
         """
         if not self._is_ready():
             raise AnvilshiftError(NOT_READY, "", _RETRY_ELSEWHERE_AFTER)
-        organisation = self._gate.authenticate(request)
+        organisation = self._access_control.authenticate(request)
         if request.path == ADDRESSES_PATH and request.method == "GET":
             body = dump_json(self._list_addresses())
             await responder.send(Reply(200, [JSON_TYPE], body))
@@ -119,7 +118,7 @@
         self, request: HttpRequest, organisation: Organisation, responder: Responder
     ) -> None:
         now = self._shared.clock.now()
-        routes = dict(self._gate.catalogue.routes)
+        routes = dict(self._access_control.catalogue.routes)
         job = parse_chat_request(request, organisation, routes, now)
         self._admit(job)
         if job.non_idempotent:
@@ -155,20 +154,22 @@
             outcome.cancel()
 
     async def _run_chat(self, job: Job) -> Answer:
-        return await read_whole(self.runs.join(job, self._gate.make_work(job)))
+        return await read_whole(
+            self.runs.join(job, self._access_control.make_work(job))
+        )
 
     async def _handle_service_call(
         self, request: HttpRequest, organisation: Organisation, responder: Responder
     ) -> None:
         name, _, subpath = request.target.removeprefix(SERVICES_PATH).partition("/")
-        route = self._gate.find_route(name)
+        route = self._access_control.find_route(name)
         if route is None or route.kind is not TargetKind.SERVICE:
             raise AnvilshiftError(UNKNOWN_ROUTE, "unknown service")
         now = self._shared.clock.now()
         job = parse_service_call(request, organisation, route, subpath, now)
         self._admit(job)
         call = ServiceCall(self._shared, job, request, f"/{subpath}")
-        work = self._gate.make_work(job)
+        work = self._access_control.make_work(job)
         if job.non_idempotent:
             answer = await self.claimed.run(job, lambda: call.run(work))
         else:
--- a/anvilshift/router/hooks.py
+++ b/anvilshift/router/hooks.py
@@ -1,4 +1,4 @@
-"""Callbacks through which a treasury uses other components of its router."""
+"""Callbacks through which a router's budgets use its other components."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -33,7 +33,7 @@
 
 @dataclass
 class Hooks:
-    """Callbacks of a treasury; the defaults act as if no other router existed."""
+    """Callbacks of the budgets; the defaults act as if no other router existed."""
 
     keep_copies: KeepCopies = _decline_copies
     store_at_witness: KeepWitnessed = _decline_witnessed_copies
--- a/anvilshift/router/messages.py
+++ b/anvilshift/router/messages.py
@@ -59,7 +59,7 @@
     )
 
 
-def read_vitals(beat: Heartbeat) -> HeartbeatStatus:
+def read_heartbeat_status(beat: Heartbeat) -> HeartbeatStatus:
     """Return the status that a router reports about itself in a heartbeat."""
     return HeartbeatStatus(
         beat.reaches_platform, beat.renewing_for_ms, beat.serving, beat.in_flight
--- a/anvilshift/router/node.py
+++ b/anvilshift/router/node.py
@@ -61,15 +61,15 @@
         self.budgets = RouterBudgets(
             self.store, world.clock, self.incarnation, settings.commit_spacing
         )
-        self.treasury.hooks.count_event = world.telemetry.count_event
+        self.budgets.hooks.count_event = world.telemetry.count_event
         dispatch_settings = DispatchSettings(
             settings.failure_domain, settings.queue_length, settings.attempts, asks=True
         )
         self.dispatcher = Dispatcher(dispatch_settings, world.rng)
         self.dispatch = DispatchLoop(self.dispatcher, world.clock)
         self.targets = Targets(world.connector, world.clock)
-        self.departing = LeavingTargets(self._set_target_leaving, world.clock)
-        self.gate = AccessControl()
+        self.leaving_targets = LeavingTargets(self._set_target_leaving, world.clock)
+        self.access_control = AccessControl()
         self.callers = self._make_caller_port()
         self.fleet = Fleet(
             self.store,
@@ -88,7 +88,9 @@
         self.orders = Orders(
             self.store, world.clock, self.fleet, lambda name: self.targets.engine(name)
         )
-        self.crashes = CrashReports(world.clock, self._record_crash, self.fleet.send_heartbeats)
+        self.crashes = CrashReports(
+            world.clock, self._record_crash, self.fleet.send_heartbeats
+        )
         self.quarantined = QuarantineRecords(self.store, world.clock)
         sources = PermitSources(
             self.fleet.member,
@@ -108,20 +110,20 @@
             world.clock,
             lambda: self.fleet.members,
         )
-        self.fleet.relocate = self.relocating.take
-        self.dispatch.relocate = self.relocating.ask
+        self.fleet.relocate = self.relocation_protocol.handle_relocate
+        self.dispatch.relocate = self.relocation_protocol.ask
         self.dispatch.announce = self._announce_crash
-        self.dispatcher.renew = self.gate.renew
+        self.dispatcher.renew = self.access_control.renew
         self.crashes.take_other = self._record_further_crash
         self.fleet.list_crash_reports = self.crashes.list_reports_to_send
-        self.fleet.receive_crash_reports = self.crashes.hear
-        self.fleet.greet = self.crashes.greet
+        self.fleet.receive_crash_reports = self.crashes.receive
+        self.fleet.note_incarnation = self.crashes.note_incarnation
         self.crashes.list_quarantined = lambda: self.dispatcher.list_crashes(
             self.clock.now()
         )
         self.fleet.on_heartbeat = self._update_fleet_state
-        self.fleet.on_roster_changed = lambda: self.dispatcher.set_has_others(
-            bool(self.fleet.roster.member_statuses)
+        self.fleet.on_members_changed = lambda: self.dispatcher.set_has_others(
+            bool(self.fleet.members.member_statuses)
         )
         self.fleet.list_leaving_targets = lambda: self.leaving_targets.told
         self.fleet.receive_leaving_targets = self.leaving_targets.receive_leaving
@@ -152,7 +154,7 @@
 
     def _is_alive(self, incarnation: str) -> bool:
         """Tell whether this router currently counts an incarnation as alive."""
-        present = self.fleet.roster.present(self.clock.now())
+        present = self.fleet.members.list_alive(self.clock.now())
         return any(s.member.incarnation == incarnation for s in present)
 
     def _make_member(self) -> Member:
@@ -215,7 +217,7 @@
             self.dispatcher.crashed(record.content, record.target, self.clock.now())
 
     def _announce_crash(self, crash: CrashAnnouncement) -> None:
-        self.crashes.announce(crash)
+        self.crashes.report(crash)
         logging.warning(
             "engine reached without an answer content=%s engine=%s blamed=%d",
             crash.content,
@@ -227,7 +229,7 @@
             self.quarantined.add(crash.content, targets)
 
     def _apply_catalogue(self, catalogue: Catalogue) -> None:
-        self.gate.configure(catalogue)
+        self.access_control.configure(catalogue)
         self.targets.configure(catalogue)
         self.budgets.configure(dict(catalogue.budgets))
         targets = [
@@ -300,10 +302,7 @@
             ),
             self.leaving_targets.count_refusal,
         )
-        leaving = self.leaving_targets.follow(
-            self.store, self._name_routers, self.world.rng
-        )
-        following = self.departing.follow(
+        following = self.leaving_targets.follow(
             self.store, self._list_router_names, self.world.rng
         )
         coroutines = (
@@ -346,7 +345,7 @@
         callbacks = StopCallbacks(
             self._leave_fleet,
             self._refuse_new_work,
-            self.treasury.settle_all,
+            self.budgets.settle_all,
             lambda: self.callers.in_flight,
             self.callers.list_open,
         )
@@ -387,12 +386,12 @@
         # in the same report, and the requests waiting for it are sent as soon as it
         # counts as recovered.
         self.dispatcher.update_rate_limit(report)
-        self.departing.apply_load_report(report)
+        self.leaving_targets.apply_load_report(report)
         self.dispatch.act(self.dispatcher.load_report(report, self.clock.now()))
 
     def _list_router_names(self) -> set[str]:
-        present = self.fleet.roster.present(self.clock.now())
-        return {sighting.member.name for sighting in present}
+        present = self.fleet.members.list_alive(self.clock.now())
+        return {status.member.name for status in present}
 
     def _record_crash(self, content: str, target: str, age: Millis) -> None:
         self.dispatcher.crashed(content, target, self.clock.now(), age)
@@ -407,15 +406,15 @@
         It needs the number of routers that share the targets, whether the fleet
         may be partitioned, and the revision that all routers have in force.
         """
-        self.permits.note_routers()
-        self.relocating.note_routers()
+        self.permits.update_routers()
+        self.relocation_protocol.update_routers()
         # A router that lost its lease and its record may still be serving on the
         # other side of a network partition.
         partitioned = self.fleet.is_partitioned() or self.permits.has_lost_routers()
         self.dispatcher.set_partitioned(partitioned)
         common = self.fleet.find_common_revision()
-        self.dispatch.act(self.dispatcher.agree(common, self.clock.now()))
-        present = self.fleet.roster.present(self.clock.now())
+        self.dispatch.act(self.dispatcher.confirm_revision(common, self.clock.now()))
+        present = self.fleet.members.list_alive(self.clock.now())
         routers = 1 + sum(s.heartbeat_status.serving for s in present)
         if routers != self._router_count:
             self._router_count = routers
--- a/anvilshift/router/services.py
+++ b/anvilshift/router/services.py
@@ -73,7 +73,7 @@
         timeout = (job.deadline - self._shared.clock.now()) / SECOND
         async with asyncio.timeout(timeout):
             if job.bound:
-                await treasury.reserve(account, job.bill_key, job.bound)
+                await budgets.reserve(account, job.bill_key, job.bound)
             answer = await self._call_with_retries(work)
             if job.bound:
                 await budgets.settle(
@@ -87,7 +87,7 @@
 
     def _finish(self, error: AnvilshiftError | None) -> None:
         job, shared = self._job, self._shared
-        shared.treasury.release(job.organisation.budget, job.bill_key)
+        shared.budgets.release(job.organisation.budget, job.bill_key)
         shared.dispatch.cancel(self._call_id)
         name, request_class = job.organisation.name, job.route.request_class
         shared.telemetry.count_answer(
--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -69,7 +69,7 @@
     "records-of-use": (
         Patch(
             "platform/settings.py",
-            "history=_convert_history(self.platform.history_s)",
+            "history=_convert_to_ms(self.platform.history_s)",
             "history=None",
         ),
     ),
--- a/bench/budgets.py
+++ b/bench/budgets.py
@@ -1,6 +1,6 @@
 """Compare strategies for spending a prepaid budget (``make budgets``).
 
-The treasury of the routers runs in virtual time on an in-memory platform with
+The budgets of the routers runs in virtual time on an in-memory platform with
 4 ms per call, and every strategy receives the same requests.  Refusals are
 checked against the tokens that are really left.  A refusal is false when the
 tokens of the budget, less those spent and those reserved by requests in flight,
@@ -119,8 +119,8 @@
 
     async def reserve(self, account: str, key: str, tokens: int) -> None:
         """Reserve tokens, with a write to the ledger when the grant is too small."""
-        self._escrow.open(account, 0, 0)
-        if not self._escrow.reserve(account, key, tokens):
+        self._holder_accounts.open(account, 0, 0)
+        if not self._holder_accounts.reserve(account, key, tokens):
             await self._commit()
         if not self._holder_accounts.reserve(account, key, tokens):
             code = self._holder_accounts.grant_states[account].refuse(key, tokens, 0.0)
@@ -128,14 +128,14 @@
 
     def release(self, account: str, key: str) -> None:
         """Release a reservation."""
-        self._escrow.release(account, key)
+        self._holder_accounts.release(account, key)
 
     async def settle(
         self, account: str, key: str, organisation: str, tokens: int
     ) -> None:
         """Bill the used tokens with a write to the ledger."""
-        bill = Bill(key, organisation, tokens, self._escrow.holder)
-        self._escrow.bill(account, bill)
+        bill = Bill(key, organisation, tokens, self._holder_accounts.holder)
+        self._holder_accounts.bill(account, bill)
         await self._commit()
 
 
@@ -151,17 +151,17 @@
 
     async def reserve(self, account: str, key: str, tokens: int) -> None:
         """Reserve tokens of an account for a request."""
-        await self._treasury.reserve(self._share_account(account), key, tokens)
+        await self._router_budgets.reserve(self._share_account(account), key, tokens)
 
     def release(self, account: str, key: str) -> None:
         """Release a reservation."""
-        self._treasury.release(self._share_account(account), key)
+        self._router_budgets.release(self._share_account(account), key)
 
     async def settle(
         self, account: str, key: str, organisation: str, tokens: int
     ) -> None:
         """Bill the used tokens of a request."""
-        await self._treasury.settle(
+        await self._router_budgets.settle(
             self._share_account(account), key, organisation, tokens
         )
 
@@ -174,7 +174,7 @@
     load: Load
     store: MemoryStore = field(default_factory=MemoryStore)
     clients: list[BudgetClient] = field(default_factory=list)
-    treasuries: list[RouterBudgets] = field(default_factory=list)
+    all_router_budgets: list[RouterBudgets] = field(default_factory=list)
     left: dict[str, int] = field(default_factory=dict)
     received: dict[str, int] = field(default_factory=dict)
     served: int = 0
@@ -215,17 +215,19 @@
         if self.strategy == "a write a request":
             return LedgerWriteClient(self.store, f"r{number}")
         view = self.store.view(f"r{number}")
-        treasury = RouterBudgets(view, VirtualClock(), f"r{number}-a", COMMIT_SPACING)
-        self.treasuries.append(treasury)
+        router_budgets = RouterBudgets(
+            view, VirtualClock(), f"r{number}-a", COMMIT_SPACING
+        )
+        self.all_router_budgets.append(router_budgets)
         names = [f"b{n}" for n in range(self.load.budgets)]
         if self.strategy == "fixed shares":
             names = [f"{name}/{number}" for name in names]
         grant, allowance = self.load.grant, self.load.allowance
         budgets = {n: Budget(n, allowance=allowance, grant=grant) for n in names}
-        treasury.configure(budgets)
+        router_budgets.configure(budgets)
         if self.strategy == "fixed shares":
-            return FixedShareClient(treasury, number)
-        treasury.ask_peers = lambda account: self._ask(number, account)
+            return FixedShareClient(router_budgets, number)
+        router_budgets.ask_peers = lambda account: self._ask(number, account)
         if self.strategy == "escrow, witnessed":
             witness = (number + 1) % ROUTERS
             router_budgets.hooks.choose_witness = lambda _: f"r{witness}-a"
@@ -241,7 +243,9 @@
         await asyncio.sleep(0.002)
         number = int(witness[1 : witness.index("-")])
         alive = number not in self.killed
-        return alive and self.treasuries[number].copies.add(holder, bills, witness)
+        return alive and self.all_router_budgets[number].copies.add(
+            holder, bills, witness
+        )
 
     async def serve(self, request: Request) -> None:
         """Serve a request and classify its outcome."""
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -69,7 +69,7 @@
     Series("heartbeats of all", "us", ROUTERS, slopes.record_heartbeats, 2_200),
     Series("heartbeat, both ends", "us", (1,), slopes.measure_heartbeat_exchange, 1),
     Series("heartbeat, both ways", "B", (1,), slopes.measure_heartbeat_bytes, 1),
-    Series("roster memory", "B", ROUTERS, slopes.measure_roster_bytes, 2_200),
+    Series("roster memory", "B", ROUTERS, slopes.measure_members_bytes, 2_200),
     Series("commit by accounts", "us", BUDGETS, ledgers.commit_by_accounts, 53_000),
     Series("commit by bills", "us", BILLS, ledgers.commit_by_bills, 36_000),
     Series(
@@ -80,7 +80,9 @@
     ),
     Series("account by bills", "B", BILLS, ledgers.measure_account_by_bills, 36_000),
     Series("gather a commit", "us", BUDGETS, ledgers.begin_commit, 53_000),
-    Series("purses memory", "B", BUDGETS, ledgers.measure_escrow_bytes, 53_000),
+    Series(
+        "purses memory", "B", BUDGETS, ledgers.measure_holder_accounts_bytes, 53_000
+    ),
     Series("change in force", "us", BUDGETS, slopes.publish_by_budgets, 53_000),
     Series(
         "declarations memory", "B", BUDGETS, slopes.measure_declarations_bytes, 53_000
--- a/bench/ledgers.py
+++ b/bench/ledgers.py
@@ -1,4 +1,4 @@
-"""Measure the cost of ledgers and purses by size, in one process."""
+"""Measure the cost of ledgers and grant states by size, in one process."""
 
 from anvilshift.core.holderaccounts import HolderAccounts
 from anvilshift.core.ledger import Bill, Commit, Draw, Grant, Ledger, Outcome
@@ -70,9 +70,9 @@
     return float(len(dump_json(encode(make_ledger(1, bills=size)))))
 
 
-def make_escrow(size: int) -> HolderAccounts:
-    """Return the escrow of a router that has a funded purse for each budget."""
-    escrow = HolderAccounts("router-0000-0123456789ab")
+def make_holder_accounts(size: int) -> HolderAccounts:
+    """Return the accounts of a router that holds a funded grant of each budget."""
+    holder_accounts = HolderAccounts("router-0000-0123456789ab")
     for index in range(size):
         holder_accounts.open(f"budget-{index:05}", 2_000, 20_000)
     commit = holder_accounts.begin_commit()
@@ -82,11 +82,11 @@
 
 
 def begin_commit(size: int) -> float:
-    """Return microseconds to begin a commit, by purses that a router holds."""
-    escrow = make_escrow(size)
-    return time_micros(lambda: escrow.begin_commit())
+    """Return microseconds to begin a commit, by grants that a router holds."""
+    holder_accounts = make_holder_accounts(size)
+    return time_micros(lambda: holder_accounts.begin_commit())
 
 
-def measure_escrow_bytes(size: int) -> float:
-    """Return the memory of a router's purses in bytes."""
-    return measure_bytes(lambda: make_escrow(size))
+def measure_holder_accounts_bytes(size: int) -> float:
+    """Return the memory of a router's grant states in bytes."""
+    return measure_bytes(lambda: make_holder_accounts(size))
--- a/bench/load/baselines.py
+++ b/bench/load/baselines.py
@@ -31,7 +31,7 @@
     def set_routers(self, routers: int) -> None:
         """Set the number of routers that share the targets."""
 
-    def arrive(self, work: Work, now: Millis) -> Actions:
+    def add_request(self, work: Work, now: Millis) -> Actions:
         """Handle the arrival of a request."""
 
     def first_token(self, identity: str, now: Millis) -> Actions:
@@ -55,7 +55,7 @@
     def prepare(self, ask: Ask, now: Millis) -> bool:
         """Return whether this router holds a content back for another router."""
 
-    def settle(self, ask: Ask, agreed: bool, now: Millis) -> Actions:
+    def finish_relocation(self, ask: Ask, agreed: bool, now: Millis) -> Actions:
         """Handle whether the routers agreed to send a content to the target."""
 
     def tick(self, now: Millis) -> Actions:
@@ -89,7 +89,7 @@
         self._next += 1
         return self._names[self._next % len(self._names)]
 
-    def arrive(self, work: Work, now: Millis) -> Actions:
+    def add_request(self, work: Work, now: Millis) -> Actions:
         """Handle the arrival of a request."""
         return self._send(work, 1)
 
@@ -141,7 +141,7 @@
         """Return False: this policy holds no content back."""
         return False
 
-    def settle(self, ask: Ask, agreed: bool, now: Millis) -> Actions:
+    def finish_relocation(self, ask: Ask, agreed: bool, now: Millis) -> Actions:
         """Ignore the result: this policy never asks other routers."""
         return []
 
--- a/bench/load/cost.py
+++ b/bench/load/cost.py
@@ -52,7 +52,7 @@
             self.now + self._rng.uniform(50_000.0, 60_000.0),
             prefixes=(f"p{self._rng.randrange(1_000)}",),
         )
-        self._record_actions(self._dispatcher.arrive(work, self.now))
+        self._record_actions(self._dispatcher.add_request(work, self.now))
 
     def step(self) -> None:
         """Pass one event of each kind to the dispatcher."""
--- a/bench/load/runs.py
+++ b/bench/load/runs.py
@@ -210,7 +210,7 @@
             call.prefixes,
             call.content,
         )
-        self._perform(number, self._routers[number].arrive(work, now))
+        self._perform(number, self._routers[number].add_request(work, now))
 
     def _list_candidates(self, priority: int) -> dict[str, int]:
         if priority not in self._candidates:
@@ -286,7 +286,9 @@
         def settle(others: list[int], agreed: bool) -> None:
             for n in [number, *others]:
                 if n in self._alive:
-                    actions = self._routers[n].settle(ask, agreed, self._timeline.now)
+                    actions = self._routers[n].finish_relocation(
+                        ask, agreed, self._timeline.now
+                    )
                     self._perform(n, actions)
 
         self._timeline.at(self._timeline.now + _NETWORK_DELAY, prepare)
--- a/bench/load/thin.py
+++ b/bench/load/thin.py
@@ -67,7 +67,7 @@
     def set_routers(self, routers: int) -> None:
         """Ignore the number of routers: this policy doesn't divide the slots."""
 
-    def arrive(self, work: Work, now: Millis) -> Actions:
+    def add_request(self, work: Work, now: Millis) -> Actions:
         """Queue a request, or refuse it if the queue is full."""
         if len(self._queue) >= self._settings.queue_length:
             return [Refuse(work.identity, OVERLOADED, "queue is full", _RETRY_AFTER)]
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -154,7 +154,9 @@
         yield
 
 
-def _allow_next_in_use(self: TargetRestriction, work: Work, pool: Pool, now: Millis) -> Any:
+def _allow_next_in_use(
+    self: TargetRestriction, work: Work, pool: Pool, now: Millis
+) -> Any:
     """Allow any target first, then the targets reached and the next one in use."""
     reached = self._state.quarantine.list_charged_targets(work.content)
     if len(reached) >= TARGETS:
@@ -210,7 +212,7 @@
     Mutant(
         "any claim may be run again",
         ("order runs at most once",),
-        _replace(claims, "judge", lambda found, claim: claims.Verdict.RUN),
+        _replace(claims, "decide", lambda found, claim: claims.Decision.RUN),
     ),
     Mutant(
         "a removed router serves on",
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -58,9 +58,9 @@
     )
 
 
-def make_roster(size: int) -> MemberTable:
-    """Return the roster of a fleet as one of its routers keeps it."""
-    roster = MemberTable(lease=5_000.0)
+def make_members(size: int) -> MemberTable:
+    """Return the member table of a fleet as one of its routers keeps it."""
+    members = MemberTable(lease=5_000.0)
     for index in range(size):
         members = members.record_renewal(make_member(index), 0.0)
     return members
@@ -68,7 +68,7 @@
 
 def record_heartbeats(size: int) -> float:
     """Return microseconds to record one heartbeat of every other router."""
-    roster = make_roster(size)
+    members = make_members(size)
 
     def work() -> None:
         heard = members
@@ -168,9 +168,9 @@
     return asyncio.run(_exchange_heartbeats())[1]
 
 
-def measure_roster_bytes(size: int) -> float:
-    """Return the memory of the roster of one router in bytes."""
-    return measure_bytes(lambda: make_roster(size))
+def measure_members_bytes(size: int) -> float:
+    """Return the memory of one router's member table in bytes."""
+    return measure_bytes(lambda: make_members(size))
 
 
 def make_declarations(engines: int, budgets: int = 10) -> list[Declaration]:
@@ -270,7 +270,7 @@
         for number in range(10):
             identity = f"r{number}"
             work_item = Work(identity, "o", "c", candidates, 100, 300, deadline=1e6)
-            dispatcher.arrive(work_item, 1.0)
+            dispatcher.add_request(work_item, 1.0)
             dispatcher.first_token(identity, 2.0)
             dispatcher.done(identity, 300, 3.0)
 
--- a/bench/soak/books.py
+++ b/bench/soak/books.py
@@ -61,10 +61,10 @@
     for entry in soak.entries.values():
         ready = entry.node.is_ready()
         journal.check("routers are ready again", ready, entry.process.name)
-        current = entry.node.gate.catalogue.revision >= soak.accepted
+        current = entry.node.access_control.catalogue.revision >= soak.accepted
         journal.check("declarations converge", current, entry.process.name)
         serving = {e.name for e in soak.engines.values() if e.is_serving}
-        avoided = sorted(serving & entry.node.departing.leaving)
+        avoided = sorted(serving & entry.node.leaving_targets.leaving)
         detail = f"{entry.process.name} takes {avoided} for leaving"
         journal.check("engines that serve are used", not avoided, detail)
     for identity, request in soak.requests.items():
--- a/bench/soak/network.py
+++ b/bench/soak/network.py
@@ -133,7 +133,7 @@
         return reply
 
     def __getattr__(self, name: str) -> Callable[..., Any]:
-        """Return any other call of the link: `x` calls the handler's `take_x`."""
+        """Return any other call of the link: `x` calls the handler's `handle_x`."""
         if name.startswith("_"):
             raise AttributeError(name)
 
--- a/tests/router/test_bad_input.py
+++ b/tests/router/test_bad_input.py
@@ -136,12 +136,14 @@
 
     async def test_bound_counts_all_that_an_engine_may_read(self):
         """Guards against a prompt bound that ignores tool descriptions."""
-        routes = dict(self.fleet.nodes[0].gate.catalogue.routes)
+        routes = dict(self.fleet.nodes[0].access_control.catalogue.routes)
         bounds = []
         for extra in ({}, {"tools": ["x" * 1_000]}):
             body = make_chat("tank", extra={"max_completion_tokens": 5, **extra})
             request = HttpRequest("POST", CHAT, Headers([]), body)
-            organisation = self.fleet.nodes[0].gate.catalogue.organisations["pound"]
+            organisation = self.fleet.nodes[0].access_control.catalogue.organisations[
+                "pound"
+            ]
             job = parse_chat_request(request, organisation, routes, 0.0)
             self.assertEqual((job.answer_bound, job.body["max_tokens"]), (5, 5))
             bounds.append(job.prompt_bound)
