--- a/anvilshift/client/client.py
+++ b/anvilshift/client/client.py
@@ -25,7 +25,7 @@
 from anvilshift.wire.client import ExchangeError, HttpClient, Response
 from anvilshift.wire.events import Event, EventReader
 from anvilshift.wire.jsons import dump_json
-from anvilshift.wire.messages import JSON_TYPE, Address, Fields, HttpAnswer
+from anvilshift.wire.messages import JSON_TYPE, Address, HeaderFields, HttpResponse
 
 Result = TypeVar("Result")
 _LOOKUP_TIMEOUT: Millis = 1 * SECOND
@@ -201,9 +201,11 @@
             raise error
         await asyncio.sleep(delay / SECOND)
 
-    def _make_headers(self, key: str, until: Millis, non_idempotent: bool) -> Fields:
+    def _make_headers(
+        self, key: str, until: Millis, non_idempotent: bool
+    ) -> HeaderFields:
         remaining = max(1.0, until - self._clock.now())
-        headers: Fields = [
+        headers: HeaderFields = [
             JSON_TYPE,
             self._authorization,
             ("idempotency-key", key),
@@ -346,7 +348,7 @@
         key: str | None = None,
         non_idempotent: bool = False,
         deadline: Millis = _DEFAULT_DEADLINE,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Call a plain service and return its complete answer.
 
         Raises
--- a/anvilshift/engines/engine.py
+++ b/anvilshift/engines/engine.py
@@ -8,7 +8,7 @@
 from anvilshift.core.clock import Millis
 from anvilshift.core.declarations import Engine
 from anvilshift.core.work import CacheEvent, LoadReport
-from anvilshift.wire.messages import Fields, HttpAnswer
+from anvilshift.wire.messages import HeaderFields, HttpResponse
 
 
 @dataclass(frozen=True)
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True)
-class Piece:
+class AnswerPart:
     """A part of a streamed answer.
 
     Parameters
@@ -91,7 +91,7 @@
 
     def generate(
         self, call: ModelCall, timeout: Millis
-    ) -> AbstractAsyncContextManager[AsyncGenerator[list[Piece]]]:
+    ) -> AbstractAsyncContextManager[AsyncGenerator[list[AnswerPart]]]:
         """Start an answer; parts that arrived together form one list."""
 
     async def cancel(self, attempt: str) -> None:
@@ -114,8 +114,13 @@
     """Adapter of a plain service."""
 
     async def call(
-        self, method: str, path: str, headers: Fields, body: bytes, timeout: Millis
-    ) -> HttpAnswer:
+        self,
+        method: str,
+        path: str,
+        headers: HeaderFields,
+        body: bytes,
+        timeout: Millis,
+    ) -> HttpResponse:
         """Forward a call and return the complete answer."""
 
 
--- a/anvilshift/engines/http.py
+++ b/anvilshift/engines/http.py
@@ -10,11 +10,11 @@
 from anvilshift.core.declarations import Engine
 from anvilshift.core.errors import ENGINE_FAILED, AnvilshiftError
 from anvilshift.core.work import CacheEvent, Failure, LoadReport
-from anvilshift.engines.engine import ModelCall, Order, Piece, Usage
+from anvilshift.engines.engine import AnswerPart, ModelCall, Order, Usage
 from anvilshift.wire.client import ExchangeError, HttpClient, Response
 from anvilshift.wire.events import Event, EventReader
 from anvilshift.wire.jsons import dump_json
-from anvilshift.wire.messages import JSON_TYPE, Address, Fields, HttpAnswer
+from anvilshift.wire.messages import JSON_TYPE, Address, HeaderFields, HttpResponse
 
 _PARSE_ERRORS = (
     ValueError,
@@ -47,7 +47,7 @@
         self.failure = failure
 
 
-class LateAnswerError(TargetError):
+class MismatchedAnswerError(TargetError):
     """The engine sent the answer to another attempt, and it was discarded."""
 
     def __init__(self) -> None:
@@ -88,7 +88,7 @@
     @contextlib.asynccontextmanager
     async def generate(
         self, call: ModelCall, timeout: Millis
-    ) -> AsyncIterator[AsyncGenerator[list[Piece]]]:
+    ) -> AsyncIterator[AsyncGenerator[list[AnswerPart]]]:
         """Start an answer; parts that arrived together form one list."""
         body = {**call.body, "stream": True, "priority": call.priority}
         body["stream_options"] = {"include_usage": True}
@@ -109,7 +109,7 @@
                 # checked, so that no caller receives another caller's answer.
                 answered_attempt = response.headers.get(_ATTEMPT_HEADER)
                 if answered_attempt is not None and answered_attempt != call.attempt:
-                    raise LateAnswerError
+                    raise MismatchedAnswerError
                 _check_status(response.status)
                 yield _read_pieces(response)
         except ExchangeError as error:
@@ -193,7 +193,7 @@
     return rate
 
 
-async def _read_pieces(response: Response) -> AsyncGenerator[list[Piece]]:
+async def _read_pieces(response: Response) -> AsyncGenerator[list[AnswerPart]]:
     reader = EventReader()
     ended = False
     async for chunk in response.chunks():
@@ -218,7 +218,7 @@
         raise TargetError(Failure.BROKE_OFF, error.detail) from error
 
 
-def _read_piece(data: str) -> Piece:
+def _read_piece(data: str) -> AnswerPart:
     try:
         value = json.loads(data)
         choice = value["choices"][0] if value.get("choices") else {}
@@ -235,7 +235,7 @@
         raise TargetError(
             Failure.BROKE_OFF, "an event of the stream is malformed"
         ) from error
-    return Piece(text, 1 if text else 0, choice.get("finish_reason"), token_usage)
+    return AnswerPart(text, 1 if text else 0, choice.get("finish_reason"), token_usage)
 
 
 class HttpPlainService:
@@ -246,8 +246,13 @@
         self._address = address
 
     async def call(
-        self, method: str, path: str, headers: Fields, body: bytes, timeout: Millis
-    ) -> HttpAnswer:
+        self,
+        method: str,
+        path: str,
+        headers: HeaderFields,
+        body: bytes,
+        timeout: Millis,
+    ) -> HttpResponse:
         """Forward a call and return the complete answer."""
         try:
             return await self._client.call(
--- a/anvilshift/gateway/attempts.py
+++ b/anvilshift/gateway/attempts.py
@@ -12,7 +12,7 @@
 from anvilshift.core.clock import Clock, Millis
 from anvilshift.core.loadmap import LoadMap, Prompt
 from anvilshift.core.work import Failure
-from anvilshift.gateway.border import Delivery, Dialect, Notes
+from anvilshift.gateway.border import AnswerFields, Dialect, TargetFields
 from anvilshift.gateway.journal import Journal
 from anvilshift.gateway.limits import RateLimits
 from anvilshift.gateway.messages import Begun, Ended, Held, Sent
@@ -79,7 +79,7 @@
     identity: str
     host: str
     prompt: Prompt
-    delivery: Delivery
+    delivery: TargetFields
     choice: Choice
     capacity: int
 
@@ -90,7 +90,7 @@
 
     status: int
     headers: Headers
-    notes: Notes
+    notes: AnswerFields
     response: Response
 
 
@@ -122,7 +122,9 @@
         try:
             async with self._exchange(outgoing) as response:
                 self._log_fields(outgoing, response.headers)
-                notes = self.dialect.read_notes(response.status, response.headers)
+                notes = self.dialect.read_answer_fields(
+                    response.status, response.headers
+                )
                 self._record_limit(outgoing, notes, sent)
                 _check_answer(outgoing, notes)
                 yield Answer(response.status, response.headers, notes, response)
@@ -151,7 +153,9 @@
                     target=outgoing.choice.target.info.name,
                 )
 
-    def _record_limit(self, outgoing: Outgoing, notes: Notes, sent: Millis) -> None:
+    def _record_limit(
+        self, outgoing: Outgoing, notes: AnswerFields, sent: Millis
+    ) -> None:
         """Record the rate limit or pause that a target states.
 
         A signed answer without a limit withdraws the limit that was stated before.
@@ -171,7 +175,7 @@
         self, outgoing: Outgoing
     ) -> contextlib.AbstractAsyncContextManager[Response]:
         request = outgoing.request
-        headers = self.dialect.write_delivery(request, outgoing.delivery)
+        headers = self.dialect.write_target_fields(request, outgoing.delivery)
         address = Address.parse(outgoing.choice.target.info.address)
         return self.client.exchange(
             address,
@@ -244,7 +248,7 @@
             self.peers.send_near(message, domain, soon=isinstance(message, Sent))
 
 
-def _check_answer(outgoing: Outgoing, notes: Notes) -> None:
+def _check_answer(outgoing: Outgoing, notes: AnswerFields) -> None:
     """Check that the answer is one to this request.
 
     Raises
--- a/anvilshift/gateway/border.py
+++ b/anvilshift/gateway/border.py
@@ -11,7 +11,7 @@
 from anvilshift.core.clock import Millis
 from anvilshift.core.loadmap import Prompt, TargetInfo
 from anvilshift.core.routing import Configuration
-from anvilshift.wire.messages import Fields, Headers, HttpRequest
+from anvilshift.wire.messages import HeaderFields, Headers, HttpRequest
 
 Raw = Mapping[str, Any]
 
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True)
-class Delivery:
+class TargetFields:
     """The fields that the gateway adds to a request that it sends to a target.
 
     Parameters
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True)
-class Notes:
+class AnswerFields:
     """The fields of a target's answer that the gateway uses.
 
     Parameters
@@ -128,8 +128,10 @@
     def read_call(self, request: HttpRequest) -> Call:
         """Return the fields of a caller's request."""
 
-    def write_delivery(self, request: HttpRequest, delivery: Delivery) -> Fields:
+    def write_target_fields(
+        self, request: HttpRequest, delivery: TargetFields
+    ) -> HeaderFields:
         """Return the headers of the request that is sent to a target."""
 
-    def read_notes(self, status: int, headers: Headers) -> Notes:
+    def read_answer_fields(self, status: int, headers: Headers) -> AnswerFields:
         """Return the fields of a target's answer."""
--- a/anvilshift/gateway/conversation.py
+++ b/anvilshift/gateway/conversation.py
@@ -34,7 +34,7 @@
 from anvilshift.gateway.peers import Peer, Peers
 from anvilshift.gateway.reserving import Reservations
 from anvilshift.gateway.settings import GatewaySettings
-from anvilshift.gateway.shared import Shared
+from anvilshift.gateway.shared import RouterContext
 from anvilshift.gateway.shares import ShareManager
 
 _FAREWELL_COPIES = 3
@@ -61,7 +61,7 @@
     reservations: Reservations
     allocators: AllocatorMap
     marks: MarkLog
-    shared: Shared
+    shared: RouterContext
     limits: RateLimits
     clock: Clock
     journal: Journal
--- a/anvilshift/gateway/crashes.py
+++ b/anvilshift/gateway/crashes.py
@@ -13,7 +13,7 @@
 from anvilshift.core.loadmap import Prompt, TargetLoad
 from anvilshift.core.work import Failure
 from anvilshift.gateway.attempts import AttemptError
-from anvilshift.gateway.shared import Shared
+from anvilshift.gateway.shared import RouterContext
 from anvilshift.wire.messages import Address, HttpRequest
 
 _CONNECT_TIMEOUT: Millis = 300.0
@@ -41,7 +41,7 @@
         Digest of the request, the same for each repetition.
     """
 
-    def __init__(self, shared: Shared, content: str) -> None:
+    def __init__(self, shared: RouterContext, content: str) -> None:
         self._shared = shared
         self._blame = shared.blame
         self._content = content
--- a/anvilshift/gateway/following.py
+++ b/anvilshift/gateway/following.py
@@ -11,7 +11,7 @@
 from anvilshift.core.clock import SECOND, Clock, Millis
 from anvilshift.core.errors import AnvilshiftError
 from anvilshift.gateway.journal import Journal
-from anvilshift.objects.store import Body, Change, ObjectStore
+from anvilshift.objects.store import Body, ObjectChange, ObjectStore
 
 _FIRST_PAUSE: Millis = 300.0
 """Pause after the first failed call."""
@@ -88,7 +88,7 @@
     intervals: WatchIntervals
     clock: Clock
     journal: Journal
-    change: Callable[[Change], None]
+    change: Callable[[ObjectChange], None]
     settle: Callable[[set[str]], None] = lambda names: None
     seen: Millis = -1e12
     revision: int = 0
@@ -147,7 +147,7 @@
         listing = await self.store.list([self.kind])
         self._note_answer()
         for item in listing.items:
-            self.change(Change(item.kind, item.name, item.version, item.body))
+            self.change(ObjectChange(item.kind, item.name, item.version, item.body))
         self.settle({item.name for item in listing.items})
         self.revision = listing.revision
 
--- a/anvilshift/gateway/node.py
+++ b/anvilshift/gateway/node.py
@@ -27,13 +27,18 @@
 from anvilshift.gateway.recording import Recorder
 from anvilshift.gateway.reserving import Reservations
 from anvilshift.gateway.settings import GatewaySettings
-from anvilshift.gateway.shared import Shared
+from anvilshift.gateway.shared import RouterContext
 from anvilshift.gateway.shares import ShareManager
 from anvilshift.gateway.targetregistry import TargetRegistry
-from anvilshift.objects.store import Change, ObjectStore
+from anvilshift.objects.store import ObjectChange, ObjectStore
 from anvilshift.wire.client import HttpClient
 from anvilshift.wire.messages import HttpRequest, Limits
-from anvilshift.wire.server import CallerGoneError, HttpServer, Responder, render_error
+from anvilshift.wire.server import (
+    CallerDisconnectedError,
+    HttpServer,
+    Responder,
+    render_error,
+)
 
 _CONFIGURATION_INTERVALS = WatchIntervals(wait=1.5 * SECOND)
 _TARGETS_INTERVALS = WatchIntervals(wait=1.5 * SECOND, rest=500.0)
@@ -130,7 +135,7 @@
         sender = Sender(
             self.client, dialect, self.loads, self.peers, clock, journal, self.limits
         )
-        self.shared = Shared(
+        self.shared = RouterContext(
             self.incarnation,
             clock,
             rng,
@@ -207,7 +212,7 @@
 
     # The configuration
 
-    def _apply_change(self, change: Change) -> None:
+    def _apply_change(self, change: ObjectChange) -> None:
         if change.name != self.dialect.configuration_name or change.body is None:
             return
         try:
@@ -284,7 +289,7 @@
             headers.append(("retry-after", f"{error.retry_after / SECOND:.3f}"))
         try:
             await responder.send(replace(reply, headers=headers))
-        except CallerGoneError:
+        except CallerDisconnectedError:
             self.journal.write("caller_gone", code=error.code.number)
 
     # Background tasks
@@ -374,7 +379,7 @@
         self.leaving = True
         self.journal.write("stop_begun", in_flight=self.in_flight)
         self.peers.beat()
-        self.server.parting = True
+        self.server.is_draining = True
         stop_started = self.clock.now()
         last = stop_started + self.settings.grace - 900.0
         while self.clock.now() < last:
--- a/anvilshift/gateway/passing.py
+++ b/anvilshift/gateway/passing.py
@@ -41,13 +41,13 @@
 )
 from anvilshift.core.work import Failure
 from anvilshift.gateway.attempts import Answer, AttemptError, Outgoing
-from anvilshift.gateway.border import Call, Delivery
+from anvilshift.gateway.border import Call, TargetFields
 from anvilshift.gateway.crashes import CrashTracker, digest_request
 from anvilshift.gateway.permitsession import PermitSession
 from anvilshift.gateway.relaying import COMPLETE, AnswerRelay
-from anvilshift.gateway.shared import Shared
+from anvilshift.gateway.shared import RouterContext
 from anvilshift.wire.messages import HttpRequest
-from anvilshift.wire.server import CallerGoneError, Responder
+from anvilshift.wire.server import CallerDisconnectedError, Responder
 
 
 class RequestHandler:
@@ -66,7 +66,7 @@
     """
 
     def __init__(
-        self, shared: Shared, request: HttpRequest, responder: Responder
+        self, shared: RouterContext, request: HttpRequest, responder: Responder
     ) -> None:
         self.shared = shared
         self.request = request
@@ -90,7 +90,7 @@
         ------
         AnvilshiftError
             When there is no complete answer.
-        CallerGoneError
+        CallerDisconnectedError
             When the caller closed its connection.
         """
         call = self.shared.dialect.read_call(self.request)
@@ -101,7 +101,7 @@
         except AnvilshiftError as error:
             self.relay.outcome = error.code.name
             raise
-        except CallerGoneError:
+        except CallerDisconnectedError:
             self.relay.outcome = "caller gone"
             raise
         finally:
@@ -414,10 +414,10 @@
         """Return whether the request may be run at a further target."""
         return self.rule.repeatable and self.targets < self.rule.max_targets_per_request
 
-    def _make_delivery(self, choice: Choice, left: Millis) -> Delivery:
+    def _make_delivery(self, choice: Choice, left: Millis) -> TargetFields:
         elapsed = self.shared.clock.now() - self.arrived
         fetch = choice.fetch_from
-        return Delivery(
+        return TargetFields(
             expected=choice.target.info.name,
             organisation=self.payer.name if self.payer else None,
             remaining=max(1.0, left),
--- a/anvilshift/gateway/permitsession.py
+++ b/anvilshift/gateway/permitsession.py
@@ -6,7 +6,7 @@
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.permits import BidState
 from anvilshift.gateway.permits import Request
-from anvilshift.gateway.shared import Shared
+from anvilshift.gateway.shared import RouterContext
 
 _MAX_PAUSE_WAIT: Millis = 250.0
 """How long a request waits for a paused target before other targets are considered."""
@@ -25,7 +25,7 @@
         request.
     """
 
-    def __init__(self, shared: Shared, identity: str, arrived: Millis) -> None:
+    def __init__(self, shared: RouterContext, identity: str, arrived: Millis) -> None:
         self._shared = shared
         self._identity = identity
         self.organisation = ""
--- a/anvilshift/gateway/relaying.py
+++ b/anvilshift/gateway/relaying.py
@@ -9,7 +9,7 @@
 from anvilshift.gateway.attempts import Answer, AttemptError
 from anvilshift.gateway.splitting import EventSplitter
 from anvilshift.wire.client import ExchangeError
-from anvilshift.wire.messages import Fields, list_hop_headers
+from anvilshift.wire.messages import HeaderFields, list_connection_options
 from anvilshift.wire.server import Responder
 
 COMPLETE = "whole"
@@ -134,7 +134,7 @@
         self._last_event_at = now
 
 
-def _filter_headers(answer: Answer) -> Fields:
+def _filter_headers(answer: Answer) -> HeaderFields:
     """Return an answer's headers without those that concern the target's connection."""
-    removed = _FRAMING_HEADERS | list_hop_headers(answer.headers)
+    removed = _FRAMING_HEADERS | list_connection_options(answer.headers)
     return [(n, v) for n, v in answer.headers.pairs if n not in removed]
--- a/anvilshift/gateway/shared.py
+++ b/anvilshift/gateway/shared.py
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class Shared:
+class RouterContext:
     """State and services of a router that all its requests share.
 
     Parameters
--- a/anvilshift/gateway/targetregistry.py
+++ b/anvilshift/gateway/targetregistry.py
@@ -10,7 +10,7 @@
 from anvilshift.gateway.journal import Journal
 from anvilshift.gateway.messages import Leaving
 from anvilshift.gateway.peers import Peers
-from anvilshift.objects.store import Change
+from anvilshift.objects.store import ObjectChange
 from anvilshift.wire.client import HttpClient
 from anvilshift.wire.messages import Address
 
@@ -37,7 +37,7 @@
     def __post_init__(self) -> None:
         self.entries = TargetEntries(self.clock, self.remove)
 
-    def apply_change(self, change: Change) -> None:
+    def apply_change(self, change: ObjectChange) -> None:
         """Apply a target's written or removed entry."""
         if change.body is None:
             self.entries.drop(change.name)
--- a/anvilshift/objects/cached.py
+++ b/anvilshift/objects/cached.py
@@ -6,8 +6,8 @@
     Body,
     ConflictError,
     ObjectStore,
-    Stored,
-    UncertainError,
+    StoredObject,
+    UncertainWriteError,
     update,
 )
 
@@ -30,10 +30,12 @@
         self._store = store
         self._kind = kind
         self._name = name
-        self._cached: Stored | None = None
+        self._cached: StoredObject | None = None
         self._contended = False
 
-    async def update(self, change: Callable[[Body | None], Body | None]) -> Stored:
+    async def update(
+        self, change: Callable[[Body | None], Body | None]
+    ) -> StoredObject:
         """Apply a change to the object and return the stored result.
 
         The change must be idempotent: it is applied again to its own result if
@@ -56,13 +58,13 @@
             except ConflictError as error:
                 self._contended = error.found is None
                 cached = error.found
-            except UncertainError:
+            except UncertainWriteError:
                 break
         return await self._read_and_update(cached, change)
 
     async def _read_and_update(
-        self, cached: Stored | None, change: Callable[[Body | None], Body | None]
-    ) -> Stored:
+        self, cached: StoredObject | None, change: Callable[[Body | None], Body | None]
+    ) -> StoredObject:
         seen = []
 
         def recording_change(body: Body | None) -> Body | None:
--- a/anvilshift/objects/ledgers.py
+++ b/anvilshift/objects/ledgers.py
@@ -20,12 +20,12 @@
 per round that a second object costs each router (bench/budgets.py)."""
 
 
-def ledger_name(account: str, shards: int) -> str:
+def find_ledger_name(account: str, shards: int) -> str:
     """Return the name of the ledger object that holds an account.
 
     Examples
     --------
-    >>> ledger_name("kosice", 1), ledger_name("kosice", 8)
+    >>> find_ledger_name("kosice", 1), find_ledger_name("kosice", 8)
     ('main', 'main-0')
     """
     if shards == 1:
@@ -40,7 +40,7 @@
     return [f"{LEDGER_NAME}-{number}" for number in range(shards)]
 
 
-async def read_shards(store: ObjectStore, default: int = DEFAULT_SHARDS) -> int:
+async def read_shard_count(store: ObjectStore, default: int = DEFAULT_SHARDS) -> int:
     """Return the number of ledger objects; the first caller stores the default."""
     stored = await update(
         store,
@@ -51,27 +51,29 @@
     return int(stored.body["shards"])
 
 
-def read_body(body: Body | None) -> Ledger:
+def decode_ledger(body: Body | None) -> Ledger:
     """Return the ledger in an object's body; an empty ledger without a body."""
     return decode(Ledger, body) if body else Ledger()
 
 
-def change_body(change: Callable[[Ledger], Ledger]) -> Callable[[Body | None], Body]:
+def make_body_change(
+    change: Callable[[Ledger], Ledger],
+) -> Callable[[Body | None], Body]:
     """Return a function that applies a change of a ledger to an object's body."""
-    return lambda body: encode(change(read_body(body)))
+    return lambda body: encode(change(decode_ledger(body)))
 
 
 async def top_up(store: ObjectStore, account: str, identity: str, tokens: int) -> int:
     """Add prepaid tokens to an account, once for each identity; return its total."""
-    name = ledger_name(account, await read_shards(store))
-    change = change_body(lambda ledger: ledger.top_up(account, identity, tokens))
+    name = find_ledger_name(account, await read_shard_count(store))
+    change = make_body_change(lambda ledger: ledger.top_up(account, identity, tokens))
     stored = await update(store, LEDGER_KIND, name, change)
-    return read_body(stored.body).account(account).total
+    return decode_ledger(stored.body).account(account).total
 
 
 async def read_accounts(store: ObjectStore) -> dict[str, Account]:
     """Return all accounts of all ledger objects, sorted by name."""
     accounts: dict[str, Account] = {}
     for item in (await store.list([LEDGER_KIND])).items:
-        accounts.update(read_body(item.body).accounts)
+        accounts.update(decode_ledger(item.body).accounts)
     return dict(sorted(accounts.items()))
--- a/anvilshift/objects/paced.py
+++ b/anvilshift/objects/paced.py
@@ -14,18 +14,18 @@
 from anvilshift.core.clock import SECOND, Clock, Millis
 from anvilshift.objects.store import (
     Body,
-    Changes,
+    ChangeBatch,
     HostEntry,
     Listing,
     ObjectStore,
-    Stored,
+    StoredObject,
 )
 
 LEDGER_KINDS = frozenset({"Ledger", "LedgerLayout"})
 _LEDGER_RANK, _STATE_RANK, _WATCH_RANK = range(3)
 
 
-class PacedStore:
+class RateLimitedStore:
     """An object store that limits the rate of its calls, ledger calls first.
 
     Parameters
@@ -77,7 +77,7 @@
             heapq.heappop(self._queue)
         self._set_timer()
 
-    async def get(self, kind: str, name: str) -> Stored | None:
+    async def get(self, kind: str, name: str) -> StoredObject | None:
         """Return an object, or None if it does not exist."""
         await self._wait_for_permit(_rank(kind))
         return await self._store.get(kind, name)
@@ -87,7 +87,7 @@
         await self._wait_for_permit(_WATCH_RANK)
         return await self._store.list(kinds)
 
-    async def put(self, kind: str, name: str, body: Body, version: int) -> Stored:
+    async def put(self, kind: str, name: str, body: Body, version: int) -> StoredObject:
         """Write an object if its version is unchanged; version 0 creates it."""
         await self._wait_for_permit(_rank(kind))
         return await self._store.put(kind, name, body, version)
@@ -97,7 +97,9 @@
         await self._wait_for_permit(_rank(kind))
         return await self._store.delete(kind, name, version)
 
-    async def watch(self, kinds: Iterable[str], after: int, wait: Millis) -> Changes:
+    async def watch(
+        self, kinds: Iterable[str], after: int, wait: Millis
+    ) -> ChangeBatch:
         """Wait for changes that follow a revision."""
         await self._wait_for_permit(_WATCH_RANK)
         return await self._store.watch(kinds, after, wait)
--- a/anvilshift/objects/store.py
+++ b/anvilshift/objects/store.py
@@ -17,7 +17,7 @@
 )
 from anvilshift.wire.client import ExchangeError, HttpClient
 from anvilshift.wire.jsons import dump_json
-from anvilshift.wire.messages import JSON_TYPE, Address, Fields, HttpAnswer
+from anvilshift.wire.messages import JSON_TYPE, Address, HeaderFields, HttpResponse
 
 Body = dict[str, Any]
 WRITE_ID = "write-id"
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Stored:
+class StoredObject:
     """An object in the platform's store.
 
     Parameters
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class Change:
+class ObjectChange:
     """A write of an object, or its deletion if the body is None."""
 
     kind: str
@@ -56,11 +56,11 @@
     """All objects of the requested kinds at one revision."""
 
     revision: int
-    items: tuple[Stored, ...]
+    items: tuple[StoredObject, ...]
 
 
 @dataclass(frozen=True)
-class Changes:
+class ChangeBatch:
     """The changes of a watch up to a revision.
 
     Parameters
@@ -70,7 +70,7 @@
     """
 
     revision: int
-    changes: tuple[Change, ...] = ()
+    changes: tuple[ObjectChange, ...] = ()
     too_old: bool = False
 
 
@@ -91,12 +91,12 @@
         The current object, if the store returned it with the conflict.
     """
 
-    def __init__(self, name: str, found: Stored | None = None) -> None:
+    def __init__(self, name: str, found: StoredObject | None = None) -> None:
         super().__init__(CONFLICT, f"{name} changed since it was read")
         self.found = found
 
 
-class UncertainError(AnvilshiftError):
+class UncertainWriteError(AnvilshiftError):
     """A write without a usable answer: it may or may not have taken effect."""
 
     def __init__(self, detail: str) -> None:
@@ -116,27 +116,29 @@
 class ObjectStore(Protocol):
     """Store of versioned objects with conditional writes and watches."""
 
-    async def get(self, kind: str, name: str) -> Stored | None:
+    async def get(self, kind: str, name: str) -> StoredObject | None:
         """Return an object, or None if it does not exist."""
 
     async def list(self, kinds: Iterable[str]) -> Listing:
         """Return every object of the given kinds."""
 
-    async def put(self, kind: str, name: str, body: Body, version: int) -> Stored:
+    async def put(self, kind: str, name: str, body: Body, version: int) -> StoredObject:
         """Write an object if its version is unchanged; version 0 creates it.
 
         Raises
         ------
         ConflictError
             If the object's version has changed.
-        UncertainError
+        UncertainWriteError
             If the write may or may not have taken effect.
         """
 
     async def delete(self, kind: str, name: str, version: int) -> int:
         """Delete an object if its version is unchanged; return the revision."""
 
-    async def watch(self, kinds: Iterable[str], after: int, wait: Millis) -> Changes:
+    async def watch(
+        self, kinds: Iterable[str], after: int, wait: Millis
+    ) -> ChangeBatch:
         """Wait for changes that follow a revision."""
 
     async def hosts(self) -> tuple[HostEntry, ...]:
@@ -166,7 +168,7 @@
         self._client = client
         self._address = address
         self._timeout = timeout
-        self._headers: Fields = [JSON_TYPE]
+        self._headers: HeaderFields = [JSON_TYPE]
         if credential:
             self._headers.append(("authorization", f"Bearer {credential}"))
 
@@ -175,9 +177,9 @@
         method: str,
         path: str,
         body: bytes = b"",
-        extra: Fields | None = None,
+        extra: HeaderFields | None = None,
         wait: Millis = 0.0,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         headers = [*self._headers, *(extra or [])]
         try:
             answer = await self._client.call(
@@ -185,11 +187,11 @@
             )
         except ExchangeError as error:
             if error.sent and method in ("PUT", "DELETE"):
-                raise UncertainError(str(error)) from error
+                raise UncertainWriteError(str(error)) from error
             raise AnvilshiftError(PLATFORM_DOWN, str(error)) from error
         if answer.status >= 500:
             if method in ("PUT", "DELETE"):
-                raise UncertainError(f"the platform answered {answer.status}")
+                raise UncertainWriteError(f"the platform answered {answer.status}")
             detail = f"the platform answered {answer.status}"
             raise AnvilshiftError(PLATFORM_DOWN, detail)
         if answer.status == 429:
@@ -199,7 +201,7 @@
             raise AnvilshiftError(FORBIDDEN, "the platform refused the credential")
         return answer
 
-    async def get(self, kind: str, name: str) -> Stored | None:
+    async def get(self, kind: str, name: str) -> StoredObject | None:
         """Return an object, or None if it does not exist."""
         answer = await self._call("GET", _path(kind, name))
         if answer.status == 404:
@@ -216,7 +218,7 @@
         except (KeyError, TypeError, ValueError) as error:
             raise _malformed_answer() from error
 
-    async def put(self, kind: str, name: str, body: Body, version: int) -> Stored:
+    async def put(self, kind: str, name: str, body: Body, version: int) -> StoredObject:
         """Write an object if its version is unchanged; version 0 creates it."""
         condition = ("if-match", str(version)) if version else ("if-none-match", "*")
         extra = [condition, (WRITE_ID, uuid.uuid4().hex)]
@@ -226,7 +228,7 @@
         try:
             return _read_stored(_parse_answer(answer))
         except AnvilshiftError as error:
-            raise UncertainError(error.detail) from error
+            raise UncertainWriteError(error.detail) from error
 
     async def delete(self, kind: str, name: str, version: int) -> int:
         """Delete an object if its version is unchanged; return the revision."""
@@ -237,20 +239,24 @@
         try:
             return _read_revision(_parse_answer(answer)["version"])
         except (AnvilshiftError, KeyError, TypeError, ValueError) as error:
-            raise UncertainError("the answer to the delete is malformed") from error
+            raise UncertainWriteError(
+                "the answer to the delete is malformed"
+            ) from error
 
-    async def watch(self, kinds: Iterable[str], after: int, wait: Millis) -> Changes:
+    async def watch(
+        self, kinds: Iterable[str], after: int, wait: Millis
+    ) -> ChangeBatch:
         """Wait for changes that follow a revision."""
         query = urlencode(
             {"kinds": ",".join(kinds), "after": after, "wait_ms": int(wait)}
         )
         answer = await self._call("GET", f"/v1/watch?{query}", wait=wait)
         if answer.status == 410:
-            return Changes(after, too_old=True)
+            return ChangeBatch(after, too_old=True)
         value = _parse_answer(answer)
         try:
             changes = tuple(_read_change(item) for item in value["changes"])
-            return Changes(_read_revision(value["revision"]), changes)
+            return ChangeBatch(_read_revision(value["revision"]), changes)
         except (KeyError, TypeError, ValueError) as error:
             raise _malformed_answer() from error
 
@@ -274,7 +280,7 @@
     return AnvilshiftError(PLATFORM_UNREADABLE)
 
 
-def _parse_answer(answer: HttpAnswer) -> Body:
+def _parse_answer(answer: HttpResponse) -> Body:
     try:
         value = json.loads(answer.body)
     except (ValueError, RecursionError) as error:
@@ -297,20 +303,20 @@
     return value
 
 
-def _read_stored(value: Any) -> Stored:
+def _read_stored(value: Any) -> StoredObject:
     change = _read_change(value)
     if change.body is None:
         raise _malformed_answer()
-    return Stored(change.kind, change.name, change.version, change.body)
+    return StoredObject(change.kind, change.name, change.version, change.body)
 
 
-def _read_change(value: Any) -> Change:
+def _read_change(value: Any) -> ObjectChange:
     try:
         body = value["body"]
         if body is not None and not isinstance(body, dict):
             raise _malformed_answer()
         version = _read_revision(value["version"])
-        return Change(
+        return ObjectChange(
             _read_text(value["kind"]), _read_text(value["name"]), version, body
         )
     except (KeyError, TypeError) as error:
@@ -326,7 +332,9 @@
 _MAX_ATTEMPTS = 12
 
 
-async def update(store: ObjectStore, kind: str, name: str, change: Mutation) -> Stored:
+async def update(
+    store: ObjectStore, kind: str, name: str, change: Mutation
+) -> StoredObject:
     """Read, change and write an object, and retry after conflicts.
 
     After a write whose answer was lost, the object is read again and the mutation
@@ -343,12 +351,12 @@
         current = await store.get(kind, name)
         body = change(current.body if current else None)
         if body is None or (current is not None and body == current.body):
-            return current or Stored(kind, name, 0, {})
+            return current or StoredObject(kind, name, 0, {})
         try:
             return await store.put(kind, name, body, current.version if current else 0)
         except ConflictError:
             continue
-        except UncertainError:
+        except UncertainWriteError:
             if answer_lost:
                 raise
             answer_lost = True
--- a/anvilshift/operator/platformside.py
+++ b/anvilshift/operator/administration.py
@@ -15,7 +15,7 @@
     Body,
     ConflictError,
     ObjectStore,
-    Stored,
+    StoredObject,
 )
 from anvilshift.router.following import ROUTER_KIND
 
@@ -60,14 +60,14 @@
         return not self.waiting
 
 
-async def read_stored(store: ObjectStore) -> dict[tuple[str, str], Stored]:
+async def read_stored(store: ObjectStore) -> dict[tuple[str, str], StoredObject]:
     """Return every stored declaration by kind and name."""
     listing = await store.list(KINDS)
     return {(item.kind, item.name): item for item in listing.items}
 
 
 def compare(
-    documents: Documents, stored: Mapping[tuple[str, str], Stored], prune: bool
+    documents: Documents, stored: Mapping[tuple[str, str], StoredObject], prune: bool
 ) -> list[Difference]:
     """Return the changes that applying the documents would make.
 
@@ -89,7 +89,7 @@
     return differences
 
 
-async def write_differences(
+async def apply_differences(
     store: ObjectStore, documents: Documents, differences: list[Difference]
 ) -> tuple[int, list[Difference]]:
     """Write each difference, on condition that the compared version is still stored.
@@ -122,7 +122,7 @@
     return newest, conflicting
 
 
-async def wait_accepted(
+async def wait_until_in_force(
     store: ObjectStore, clock: Clock, revision: int, timeout: Millis
 ) -> Acceptance:
     """Poll until every router has acknowledged a revision or the timeout expires."""
@@ -137,7 +137,7 @@
         await asyncio.sleep(_POLL_INTERVAL / SECOND)
 
 
-def _read_revision(item: Stored) -> int:
+def _read_revision(item: StoredObject) -> int:
     """Return the revision in force on a router, or -1 if its record is unreadable."""
     try:
         return decode(Member, item.body).revision
--- a/anvilshift/operator/main.py
+++ b/anvilshift/operator/main.py
@@ -15,20 +15,20 @@
 from anvilshift.core.clock import SECOND, MonotonicClock
 from anvilshift.core.errors import BAD_DECLARATION, BAD_SETTINGS, AnvilshiftError
 from anvilshift.objects.store import ConflictError, HttpObjectStore
-from anvilshift.operator.calling import CallCommand
-from anvilshift.operator.checking import ERROR, cross_check
-from anvilshift.operator.explaining import explain
-from anvilshift.operator.platformside import (
+from anvilshift.operator.administration import (
+    apply_differences,
     compare,
     delete_router_record,
     read_fleet,
     read_stored,
     read_usage,
     top_up,
-    wait_accepted,
-    write_differences,
+    wait_until_in_force,
 )
+from anvilshift.operator.calling import CallCommand
+from anvilshift.operator.explanations import explain
 from anvilshift.operator.standins import StandinCommands
+from anvilshift.operator.validation import ERROR, cross_check
 from anvilshift.router.daemon import Router
 from anvilshift.settings.declarations import parse_declaration, read_documents
 from anvilshift.settings.router import RouterSettings
@@ -164,11 +164,11 @@
             store = _open_store(platform, credential)
             stored = await read_stored(store)
             differences = compare(documents, stored, prune)
-            revision, conflicting = await write_differences(
+            revision, conflicting = await apply_differences(
                 store, documents, differences
             )
             rows = [vars(d) for d in differences]
-            acceptance = await wait_accepted(
+            acceptance = await wait_until_in_force(
                 store, MonotonicClock(), revision, timeout * SECOND
             )
             summary: dict[str, Any] = {
--- a/anvilshift/platform/dialect.py
+++ b/anvilshift/platform/dialect.py
@@ -8,10 +8,15 @@
 from anvilshift.core.errors import BAD_VALUE, PLATFORM_UNREADABLE, AnvilshiftError
 from anvilshift.core.loadmap import Prompt, TargetInfo
 from anvilshift.core.routing import Configuration
-from anvilshift.gateway.border import Call, Delivery, Notes, Raw
+from anvilshift.gateway.border import AnswerFields, Call, Raw, TargetFields
 from anvilshift.platform import names
 from anvilshift.platform.records import ConfigurationRecord, TargetRecord
-from anvilshift.wire.messages import Fields, Headers, HttpRequest, list_hop_headers
+from anvilshift.wire.messages import (
+    HeaderFields,
+    Headers,
+    HttpRequest,
+    list_connection_options,
+)
 
 _MAX_HASH_DIGITS = 64
 
@@ -64,12 +69,14 @@
             headers.get(names.LAST_EVENT_ID),
         )
 
-    def write_delivery(self, request: HttpRequest, delivery: Delivery) -> Fields:
+    def write_target_fields(
+        self, request: HttpRequest, delivery: TargetFields
+    ) -> HeaderFields:
         """Return the headers of a request that is forwarded to a target."""
         drop = (
             names.HOP_HEADERS
             | names.RESERVED_HEADERS
-            | list_hop_headers(request.headers)
+            | list_connection_options(request.headers)
         )
         drop |= {names.AUTHORIZATION, names.LAST_EVENT_ID}
         fields = [(n, v) for n, v in request.headers.pairs if n not in drop]
@@ -84,10 +91,10 @@
         fields += [(name, str(value)) for name, value in optional if value is not None]
         return fields
 
-    def read_notes(self, status: int, headers: Headers) -> Notes:
+    def read_answer_fields(self, status: int, headers: Headers) -> AnswerFields:
         """Return the attempt id, signature, refusal and limits in a target's answer."""
         pairs = dict(headers.pairs)
-        return Notes(
+        return AnswerFields(
             pairs.get(names.ATTEMPT_ID),
             names.ENGINE_SIGNATURE in pairs,
             names.NOT_EXECUTED in pairs,
--- a/anvilshift/platform/store.py
+++ b/anvilshift/platform/store.py
@@ -8,19 +8,19 @@
 from anvilshift.core.errors import PLATFORM_DOWN, PLATFORM_UNREADABLE, AnvilshiftError
 from anvilshift.objects.store import (
     Body,
-    Change,
-    Changes,
+    ChangeBatch,
     ConflictError,
     HostEntry,
     Listing,
+    ObjectChange,
     RateLimitedError,
-    Stored,
-    UncertainError,
+    StoredObject,
+    UncertainWriteError,
 )
 from anvilshift.platform import names
 from anvilshift.wire.client import ExchangeError, HttpClient
 from anvilshift.wire.jsons import dump_json, parse_object
-from anvilshift.wire.messages import JSON_TYPE, Address, HttpAnswer
+from anvilshift.wire.messages import JSON_TYPE, Address, HttpResponse
 
 _TIMEOUT: Millis = 1_000.0
 """A call normally takes 4 ms, and 240 ms when the store is 60 times slower."""
@@ -34,7 +34,7 @@
         self._client = client
         self._address = address
 
-    async def get(self, kind: str, name: str) -> Stored | None:
+    async def get(self, kind: str, name: str) -> StoredObject | None:
         """Return an object, or None if it does not exist."""
         answer = await self._call("GET", _path(kind, name))
         return (
@@ -44,7 +44,7 @@
     async def list(self, kinds: Iterable[str]) -> Listing:
         """Return every object of one kind, read page by page."""
         (kind,) = kinds
-        items: list[Stored] = []
+        items: list[StoredObject] = []
         revision, query = 0, ""
         while True:
             page = _parse_answer(await self._call("GET", _path(kind) + query))
@@ -55,7 +55,7 @@
                 return Listing(revision, tuple(items))
             query = "?" + urlencode({"sinceRevision": entries[-1].name})
 
-    async def put(self, kind: str, name: str, body: Body, version: int) -> Stored:
+    async def put(self, kind: str, name: str, body: Body, version: int) -> StoredObject:
         """Write an object if its version is unchanged; version 0 creates it."""
         metadata = {"name": name, **({"revision": version} if version else {})}
         data = dump_json({"metadata": metadata, "spec": body})
@@ -66,8 +66,8 @@
         try:
             stored = _read_object(kind, _parse_answer(answer))
         except AnvilshiftError as error:
-            raise UncertainError(error.detail) from error
-        return Stored(kind, name, stored.version, body)
+            raise UncertainWriteError(error.detail) from error
+        return StoredObject(kind, name, stored.version, body)
 
     async def delete(self, kind: str, name: str, version: int) -> int:
         """Delete an object if its version is unchanged; return that version."""
@@ -78,20 +78,22 @@
         _parse_answer(answer)
         return version
 
-    async def watch(self, kinds: Iterable[str], after: int, wait: Millis) -> Changes:
+    async def watch(
+        self, kinds: Iterable[str], after: int, wait: Millis
+    ) -> ChangeBatch:
         """Wait for changes of one kind that follow a revision."""
         (kind,) = kinds
         query = urlencode({"watch": after, "waitMs": int(wait)})
         answer = await self._call("GET", f"{_path(kind)}?{query}", wait=wait)
         if answer.status == 410:
-            return Changes(after, too_old=True)
+            return ChangeBatch(after, too_old=True)
         page = _parse_answer(answer)
         changes = []
         for event in page.get("events") or []:
             change = _read_event(kind, event)
             if change is not None:
                 changes.append(change)
-        return Changes(_read_revision(page.get("at")), tuple(changes))
+        return ChangeBatch(_read_revision(page.get("at")), tuple(changes))
 
     async def hosts(self) -> tuple[HostEntry, ...]:
         """Return no hosts: this platform has no list of hosts."""
@@ -99,14 +101,14 @@
 
     async def _call(
         self, method: str, path: str, body: bytes = b"", wait: Millis = 0.0
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         try:
             answer = await self._client.call(
                 self._address, method, path, [JSON_TYPE], body, _TIMEOUT + wait
             )
         except ExchangeError as error:
             if error.sent and method in _WRITE_METHODS:
-                raise UncertainError(str(error)) from error
+                raise UncertainWriteError(str(error)) from error
             raise AnvilshiftError(PLATFORM_DOWN, str(error)) from error
         if answer.status == 429:
             raise RateLimitedError("the store's rate limit is exceeded")
@@ -117,7 +119,7 @@
         if answer.status >= 500:
             detail = f"the store answered {answer.status}"
             if method in _WRITE_METHODS:
-                raise UncertainError(detail)
+                raise UncertainWriteError(detail)
             raise AnvilshiftError(PLATFORM_DOWN, detail)
         return answer
 
@@ -127,7 +129,7 @@
     return "/".join(parts if name is None else [*parts, quote(name, safe="")])
 
 
-def _parse_answer(answer: HttpAnswer) -> dict[str, Any]:
+def _parse_answer(answer: HttpResponse) -> dict[str, Any]:
     if answer.status >= 300:
         raise AnvilshiftError(PLATFORM_UNREADABLE, f"status {answer.status}")
     try:
@@ -136,7 +138,7 @@
         raise AnvilshiftError(PLATFORM_UNREADABLE, error.detail) from error
 
 
-def _read_conflict(kind: str, answer: HttpAnswer) -> Stored | None:
+def _read_conflict(kind: str, answer: HttpResponse) -> StoredObject | None:
     """Return the current object from the answer to a refused write, if it is valid.
 
     If it is invalid, the writer reads the object again, and that read raises the error.
@@ -155,27 +157,27 @@
     return value
 
 
-def _read_object(kind: str, value: Any) -> Stored:
+def _read_object(kind: str, value: Any) -> StoredObject:
     """Return an object; a body that is not a mapping is replaced by an empty one."""
     metadata = value.get("metadata") if isinstance(value, dict) else None
     if not isinstance(metadata, dict) or not isinstance(metadata.get("name"), str):
         raise AnvilshiftError(PLATFORM_UNREADABLE, "an object has no name")
     spec = value.get("spec")
     body = spec if isinstance(spec, dict) else {}
-    return Stored(
+    return StoredObject(
         kind, metadata["name"], _read_revision(metadata.get("revision")), body
     )
 
 
-def _read_entries(kind: str, values: Any) -> list[Stored]:
+def _read_entries(kind: str, values: Any) -> list[StoredObject]:
     if not isinstance(values, list):
         raise AnvilshiftError(PLATFORM_UNREADABLE, "a list answer has no entries")
     return [_read_object(kind, value) for value in values]
 
 
-def _read_event(kind: str, event: Any) -> Change | None:
+def _read_event(kind: str, event: Any) -> ObjectChange | None:
     if not isinstance(event, dict):
         return None
     stored = _read_object(kind, event.get("object"))
     body = None if event.get("deleted") else stored.body
-    return Change(kind, stored.name, stored.version, body)
+    return ObjectChange(kind, stored.name, stored.version, body)
--- a/anvilshift/router/answers.py
+++ b/anvilshift/router/answers.py
@@ -11,13 +11,13 @@
 from anvilshift.router.runs import Run
 from anvilshift.wire.events import Event
 from anvilshift.wire.jsons import dump_json
-from anvilshift.wire.messages import EVENT_STREAM_TYPE, JSON_TYPE, Fields, Reply
+from anvilshift.wire.messages import EVENT_STREAM_TYPE, JSON_TYPE, HeaderFields, Reply
 from anvilshift.wire.server import Responder, render_error
 
 REQUEST_ID_HEADER = "anvilshift-request"
 
 
-def _make_headers(job: Job) -> Fields:
+def _make_headers(job: Job) -> HeaderFields:
     return [(REQUEST_ID_HEADER, job.key)]
 
 
--- a/anvilshift/router/budgets.py
+++ b/anvilshift/router/budgets.py
@@ -14,10 +14,10 @@
 from anvilshift.objects.ledgers import (
     LEDGER_KIND,
     LEDGER_NAME,
-    ledger_name,
+    decode_ledger,
+    find_ledger_name,
     list_names,
-    read_body,
-    read_shards,
+    read_shard_count,
 )
 from anvilshift.objects.store import ObjectStore
 from anvilshift.router.hooks import AskPeers, Hooks, KeepCopies
@@ -108,8 +108,8 @@
 
     async def _find_ledger_client(self, account: str) -> LedgerClient:
         if not self._shards:
-            self._shards = await read_shards(self._store)
-        client = self._make_ledger_client(ledger_name(account, self._shards))
+            self._shards = await read_shard_count(self._store)
+        client = self._make_ledger_client(find_ledger_name(account, self._shards))
         if account not in client.holder_accounts.grant_states:
             self._open_account(client, account)
         return client
@@ -176,7 +176,7 @@
 
     async def _all_ledger_clients(self) -> list[LedgerClient]:
         if not self._shards:
-            self._shards = await read_shards(self._store)
+            self._shards = await read_shard_count(self._store)
         return [self._make_ledger_client(name) for name in list_names(self._shards)]
 
     async def submit_late_bills(self, holder: str, bills: Bills) -> None:
@@ -193,7 +193,7 @@
         return tuple(
             (account, bill)
             for account, bill in bills
-            if ledger_name(account, self._shards) == client.name
+            if find_ledger_name(account, self._shards) == client.name
         )
 
     async def seal(self, incarnation: str) -> None:
@@ -219,7 +219,7 @@
         holders: set[str] = set()
         for client in await self._all_ledger_clients():
             found = await self._store.get(LEDGER_KIND, client.name)
-            ledger = read_body(found.body if found else None)
+            ledger = decode_ledger(found.body if found else None)
             self.copies.drop_recorded(ledger)
             holders |= set(ledger.holders)
             await self._resolve_sealed_holders(client, ledger)
--- a/anvilshift/router/callers.py
+++ b/anvilshift/router/callers.py
@@ -23,7 +23,7 @@
 from anvilshift.router.claims import ClaimStore
 from anvilshift.router.registry import Runs, continues_received
 from anvilshift.router.requests import Job, parse_chat_request, parse_service_call
-from anvilshift.router.runs import Shared
+from anvilshift.router.runs import RunContext
 from anvilshift.router.services import ServiceCall
 from anvilshift.wire.jsons import dump_json
 from anvilshift.wire.messages import JSON_TYPE, HttpRequest, Reply
@@ -35,7 +35,7 @@
 _RETRY_ELSEWHERE_AFTER: Millis = 200.0
 
 
-class CallerPort:
+class CallerApi:
     """Handle callers' HTTP requests.
 
     Parameters
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        shared: Shared,
+        shared: RunContext,
         access_control: AccessControl,
         claims: ClaimStore,
         ready: Callable[[], bool],
--- a/anvilshift/router/daemon.py
+++ b/anvilshift/router/daemon.py
@@ -12,7 +12,7 @@
 from anvilshift.objects.store import HttpObjectStore
 from anvilshift.peers.link import GrpcPeerLink, PeerServer
 from anvilshift.router.node import Node, World
-from anvilshift.router.operations import OperatorPort
+from anvilshift.router.operations import OperatorApi
 from anvilshift.router.telemetry import Telemetry
 from anvilshift.settings.router import RouterSettings
 from anvilshift.wire.client import HttpClient
@@ -56,7 +56,7 @@
         )
         self.node = Node(settings, world)
         self._caller_server = HttpServer(self.node.callers.handle, settings.limits)
-        operator_port = OperatorPort(
+        operator_port = OperatorApi(
             world.telemetry,
             settings.operator_credential,
             self.node.is_ready,
--- a/anvilshift/router/following.py
+++ b/anvilshift/router/following.py
@@ -10,7 +10,7 @@
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.declarations import KINDS, Catalogue, Declaration
 from anvilshift.core.errors import PLATFORM_UNREADABLE, AnvilshiftError
-from anvilshift.objects.store import Body, Change, ObjectStore, Stored
+from anvilshift.objects.store import Body, ObjectChange, ObjectStore, StoredObject
 from anvilshift.settings.declarations import parse_declaration
 
 ROUTER_KIND = "Router"
@@ -123,13 +123,13 @@
             self._publish()
         return True
 
-    def _is_news(self, change: Change) -> bool:
+    def _is_news(self, change: ObjectChange) -> bool:
         """Tell whether a change is more than the renewal of a known router."""
         if change.kind != ROUTER_KIND:
             return True
         return change.body is None or change.name not in self._routers
 
-    def _apply(self, change: Change) -> bool:
+    def _apply(self, change: ObjectChange) -> bool:
         """Apply a change; tell whether it changed a declaration."""
         if change.version <= self._revision:
             return False
@@ -146,7 +146,7 @@
 
     def _read_declaration(
         self,
-        item: Stored | Change,
+        item: StoredObject | ObjectChange,
         body: Body,
         old: dict[tuple[str, str], Declaration],
     ) -> None:
--- a/anvilshift/router/ledgerclient.py
+++ b/anvilshift/router/ledgerclient.py
@@ -19,12 +19,12 @@
 from anvilshift.core.holderaccounts import HolderAccounts
 from anvilshift.core.ledger import Commit, Ledger, Outcome
 from anvilshift.objects.cached import CachedObject
-from anvilshift.objects.ledgers import LEDGER_KIND, read_body
+from anvilshift.objects.ledgers import LEDGER_KIND, decode_ledger
 from anvilshift.objects.records import encode
 from anvilshift.objects.store import Body, ObjectStore
 from anvilshift.router.hooks import Hooks
 from anvilshift.router.outcomes import BillOutcomes
-from anvilshift.router.refusals import make_refusal, make_unrecorded
+from anvilshift.router.refusals import make_budget_error, make_not_recorded_error
 from anvilshift.router.sealing import BILL_LIFETIME_S, HOLDER_LIFETIME_S, Sealing
 
 EARLY_RELEASE_DELAY: Millis = 400.0
@@ -163,14 +163,14 @@
         grant_state = self.holder_accounts.grant_states[account]
         code = grant_state.recall_refusal(tokens, self._clock.now())
         if code is not None:
-            raise make_refusal(code)
+            raise make_budget_error(code)
 
     def _refuse(self, account: str, key: str, tokens: int) -> None:
         grant_state = self.holder_accounts.grant_states[account]
         if self.platform_unavailable or self._failing_since is not None:
             detail = "the platform is unavailable and this router's grant is spent"
             raise AnvilshiftError(BUDGET_UNREACHABLE, detail, 2 * SECOND)
-        raise make_refusal(grant_state.refuse(key, tokens, self._clock.now()))
+        raise make_budget_error(grant_state.refuse(key, tokens, self._clock.now()))
 
     def release(self, account: str, key: str) -> None:
         """Cancel the reservation of a request that is not billed."""
@@ -200,17 +200,17 @@
             if outcome.done() or await self._try_release(account, bill.key, until):
                 break
             if until is not None and self._clock.now() >= until - _MIN_WAIT:
-                raise make_unrecorded("no commit completed before the deadline")
+                raise make_not_recorded_error("no commit completed before the deadline")
             wait = _RELEASE_RETRY_DELAY
         if outcome.done() and outcome.result() is BillState.REFUSED:
-            raise make_unrecorded("the ledger refused the bill")
+            raise make_not_recorded_error("the ledger refused the bill")
 
     async def _reserve_after_run(self, account: str, bill: Bill) -> None:
         # The work has run, so a refusal that says "not run" would be wrong.
         try:
             await self.reserve(account, bill.key, bill.tokens)
         except AnvilshiftError as error:
-            raise make_unrecorded(str(error)) from error
+            raise make_not_recorded_error(str(error)) from error
 
     async def _try_release(self, account: str, key: str, until: Millis | None) -> bool:
         left = None if until is None else (until - self._clock.now()) / SECOND
@@ -316,7 +316,7 @@
 
         def change(body: Body | None) -> Body:
             nonlocal outcome
-            ledger, outcome = read_body(body).apply(commit)
+            ledger, outcome = decode_ledger(body).apply(commit)
             wall = self._clock.wall()
             ledger = ledger.forget(wall - BILL_LIFETIME_S, wall - HOLDER_LIFETIME_S)
             self.last_ledger = ledger
--- a/anvilshift/router/node.py
+++ b/anvilshift/router/node.py
@@ -18,10 +18,10 @@
 from anvilshift.core.identity import make_identity
 from anvilshift.core.membership import Member
 from anvilshift.core.work import CrashAnnouncement, DispatchSettings, LoadReport, Target
-from anvilshift.objects.paced import PacedStore
+from anvilshift.objects.paced import RateLimitedStore
 from anvilshift.router.accesscontrol import AccessControl
 from anvilshift.router.budgets import RouterBudgets
-from anvilshift.router.callers import CallerPort
+from anvilshift.router.callers import CallerApi
 from anvilshift.router.claims import ClaimStore
 from anvilshift.router.crashes import CrashReports
 from anvilshift.router.dispatching import DispatchLoop
@@ -33,7 +33,7 @@
 from anvilshift.router.quarantined import QuarantineRecords
 from anvilshift.router.relayed import RelayedStore
 from anvilshift.router.relocationprotocol import RelocationProtocol
-from anvilshift.router.runs import Shared
+from anvilshift.router.runs import RunContext
 from anvilshift.router.stopping import PlannedStop, StopCallbacks
 from anvilshift.router.targets import Targets
 from anvilshift.router.world import World
@@ -51,7 +51,7 @@
         self.settings = settings
         self.world = world
         self.clock = world.clock
-        direct_store = PacedStore(
+        direct_store = RateLimitedStore(
             world.store, world.clock, settings.platform_rate, settings.platform_burst
         )
         self.store = RelayedStore(
@@ -135,9 +135,9 @@
         self._initialised = False
         self._tasks: list[asyncio.Task[None]] = []
 
-    def _make_caller_port(self) -> CallerPort:
+    def _make_caller_port(self) -> CallerApi:
         world = self.world
-        shared = Shared(
+        shared = RunContext(
             self.incarnation,
             world.clock,
             self.budgets,
@@ -148,7 +148,7 @@
         self.claims = ClaimStore(
             self.store, world.clock, self.incarnation, world.rng, self._is_alive
         )
-        return CallerPort(
+        return CallerApi(
             shared, self.access_control, self.claims, self.is_ready, self.list_addresses
         )
 
--- a/anvilshift/router/operations.py
+++ b/anvilshift/router/operations.py
@@ -13,7 +13,7 @@
 _TEXT_TYPE = ("content-type", "text/plain; version=0.0.4")
 
 
-class OperatorPort:
+class OperatorApi:
     """Answer requests from operators and their monitoring.
 
     Parameters
@@ -60,4 +60,4 @@
         if request.path == "/drain" and request.method == "POST":
             self._drain()
             return Reply(202, [JSON_TYPE], dump_json({"draining": True}))
-        raise AnvilshiftError(UNKNOWN_ROUTE, "no such path")
+        raise AnvilshiftError(UNKNOWN_ROUTE, "unknown path")
--- a/anvilshift/router/orders.py
+++ b/anvilshift/router/orders.py
@@ -18,7 +18,7 @@
 )
 from anvilshift.engines.engine import ModelEngine, Order
 from anvilshift.objects.records import decode, encode
-from anvilshift.objects.store import ConflictError, ObjectStore, Stored
+from anvilshift.objects.store import ConflictError, ObjectStore, StoredObject
 from anvilshift.router.fleet import Fleet
 
 OWNER_KIND = "OrderOwner"
@@ -100,17 +100,17 @@
         until = read_at + self._fleet.members.lease
         await asyncio.gather(*(self._reconcile(a, until) for a in self._assignments))
 
-    async def _read(self) -> tuple[Stored | None, Ownership]:
+    async def _read(self) -> tuple[StoredObject | None, Ownership]:
         stored = await self._store.get(OWNER_KIND, OWNER_NAME)
         return stored, decode(Ownership, stored.body) if stored else Ownership()
 
-    async def _write(self, stored: Stored | None, ownership: Ownership) -> None:
+    async def _write(self, stored: StoredObject | None, ownership: Ownership) -> None:
         version = stored.version if stored else 0
         body = encode(ownership)
         await self._store.put(OWNER_KIND, OWNER_NAME, body, version)
         self.ownership = ownership
 
-    async def _take_over_if_due(self, stored: Stored | None) -> None:
+    async def _take_over_if_due(self, stored: StoredObject | None) -> None:
         previous = self.ownership
         if not previous.is_due(self._fleet.member, self._list_present()):
             return
--- a/anvilshift/router/quarantined.py
+++ b/anvilshift/router/quarantined.py
@@ -16,7 +16,7 @@
 from anvilshift.core.exposure import CHARGE_LIFETIME
 from anvilshift.core.work import CrashAnnouncement
 from anvilshift.objects.records import decode, encode
-from anvilshift.objects.store import ObjectStore, Stored, update
+from anvilshift.objects.store import ObjectStore, StoredObject, update
 
 QUARANTINE_KIND = "Quarantine"
 _RETRY_PAUSE: Millis = 1 * SECOND
@@ -99,14 +99,14 @@
             ]
         return found
 
-    def _decode_record(self, item: Stored) -> QuarantineRecord | None:
+    def _decode_record(self, item: StoredObject) -> QuarantineRecord | None:
         try:
             return decode(QuarantineRecord, item.body)
         except AnvilshiftError as error:
             logging.error("quarantine unreadable name=%s %s", item.name, error)
             return None
 
-    async def _delete(self, item: Stored) -> None:
+    async def _delete(self, item: StoredObject) -> None:
         try:
             await self._store.delete(QUARANTINE_KIND, item.name, item.version)
         except AnvilshiftError as error:
--- a/anvilshift/router/refusals.py
+++ b/anvilshift/router/refusals.py
@@ -14,12 +14,12 @@
 RETRY_AFTER_EXHAUSTED: Millis = 30 * SECOND
 
 
-def make_unrecorded(detail: str) -> AnvilshiftError:
+def make_not_recorded_error(detail: str) -> AnvilshiftError:
     """Return the error for work that ran but whose bill could not be recorded."""
     return AnvilshiftError(NOT_RECORDED, detail, RETRY_AFTER_UNREACHABLE)
 
 
-def make_refusal(code: Code) -> AnvilshiftError:
+def make_budget_error(code: Code) -> AnvilshiftError:
     """Return the error for a request that its budget can't currently pay for."""
     exhausted = code is BUDGET_EXHAUSTED
     retry_after = RETRY_AFTER_EXHAUSTED if exhausted else RETRY_AFTER_UNREACHABLE
--- a/anvilshift/router/registry.py
+++ b/anvilshift/router/registry.py
@@ -16,7 +16,7 @@
 )
 from anvilshift.core.work import Work
 from anvilshift.router.requests import Job
-from anvilshift.router.runs import Run, Shared
+from anvilshift.router.runs import Run, RunContext
 
 _FINISHED_LIFETIME: Millis = 30 * SECOND
 _MAX_FINISHED = 2_000
@@ -31,7 +31,7 @@
     Finished runs are kept for a while for requests that repeat their key.
     """
 
-    def __init__(self, shared: Shared) -> None:
+    def __init__(self, shared: RunContext) -> None:
         self.in_flight = 0
         self._shared = shared
         self._runs: dict[str, Run] = {}
--- a/anvilshift/router/relayed.py
+++ b/anvilshift/router/relayed.py
@@ -19,14 +19,14 @@
 from anvilshift.objects.records import decode
 from anvilshift.objects.store import (
     Body,
-    Changes,
+    ChangeBatch,
     ConflictError,
     HostEntry,
     Listing,
     ObjectStore,
     RateLimitedError,
-    Stored,
-    UncertainError,
+    StoredObject,
+    UncertainWriteError,
 )
 from anvilshift.peers.generated.peers_pb2 import StoreReply, StoreRequest
 from anvilshift.peers.link import PeerError, PeerLink
@@ -71,11 +71,15 @@
         self._probe: asyncio.Task[None] | None = None
         self.reaches_platform = False
 
-    async def get(self, kind: str, name: str) -> Stored | None:
+    async def get(self, kind: str, name: str) -> StoredObject | None:
         """Return an object, or None."""
         request = StoreRequest(method="get", kinds=[kind], name=name)
         value = await self._run(lambda: self._direct.get(kind, name), request)
-        return value if isinstance(value, Stored | None) else decode(Stored, value)
+        return (
+            value
+            if isinstance(value, StoredObject | None)
+            else decode(StoredObject, value)
+        )
 
     async def list(self, kinds: Iterable[str]) -> Listing:
         """Return every object of some kinds at one revision."""
@@ -84,7 +88,7 @@
         value = await self._run(lambda: self._direct.list(wanted), request)
         return value if isinstance(value, Listing) else decode(Listing, value)
 
-    async def put(self, kind: str, name: str, body: Body, version: int) -> Stored:
+    async def put(self, kind: str, name: str, body: Body, version: int) -> StoredObject:
         """Write an object if it still has a version; 0 creates it."""
         request = StoreRequest(
             method="put",
@@ -96,7 +100,7 @@
         value = await self._run(
             lambda: self._direct.put(kind, name, body, version), request
         )
-        return value if isinstance(value, Stored) else decode(Stored, value)
+        return value if isinstance(value, StoredObject) else decode(StoredObject, value)
 
     async def delete(self, kind: str, name: str, version: int) -> int:
         """Delete an object if it still has a version; return the revision."""
@@ -108,7 +112,9 @@
         )
         return value if isinstance(value, int) else int(value["revision"])
 
-    async def watch(self, kinds: Iterable[str], after: int, wait: Millis) -> Changes:
+    async def watch(
+        self, kinds: Iterable[str], after: int, wait: Millis
+    ) -> ChangeBatch:
         """Wait for changes after a revision."""
         wanted = list(kinds)
         request = StoreRequest(
@@ -120,7 +126,7 @@
         value = await self._run(
             lambda: self._watch_direct(wanted, after, wait), request
         )
-        return value if isinstance(value, Changes) else decode(Changes, value)
+        return value if isinstance(value, ChangeBatch) else decode(ChangeBatch, value)
 
     async def hosts(self) -> tuple[HostEntry, ...]:
         """Return the platform's list of hosts, which lags behind their state."""
@@ -131,7 +137,7 @@
 
     async def _watch_direct(
         self, kinds: Sequence[str], after: int, wait: Millis
-    ) -> Changes:
+    ) -> ChangeBatch:
         """Watch directly until another call finds that the direct connection fails.
 
         Otherwise a watch on a connection that stopped responding would wait until
@@ -209,7 +215,7 @@
             except PeerError as error:
                 if error.sent and request.method in _WRITES:
                     detail = "a write relayed through a peer got no answer"
-                    raise UncertainError(detail) from error
+                    raise UncertainWriteError(detail) from error
                 continue
             if reply.code == PLATFORM_DOWN.number and not reply.uncertain:
                 continue
@@ -224,13 +230,13 @@
 
 def _may_reroute(error: AnvilshiftError) -> bool:
     """Tell whether a call provably had no effect and another route may succeed."""
-    reached = isinstance(error, UncertainError | RateLimitedError)
+    reached = isinstance(error, UncertainWriteError | RateLimitedError)
     return error.code is PLATFORM_DOWN and not reached
 
 
 def _read_reply(reply: StoreReply, request: StoreRequest) -> Any:
     if reply.uncertain:
-        raise UncertainError(reply.detail)
+        raise UncertainWriteError(reply.detail)
     if reply.code == CONFLICT.number:
         raise ConflictError(f"{'/'.join(request.kinds)}/{request.name}")
     if reply.code:
@@ -245,7 +251,7 @@
     """Make a call for another router; store must be the direct one."""
     try:
         value = await _dispatch(store, request)
-    except UncertainError as error:
+    except UncertainWriteError as error:
         return StoreReply(code=error.code.number, detail=error.detail, uncertain=True)
     except AnvilshiftError as error:
         return StoreReply(code=error.code.number, detail=error.detail)
--- a/anvilshift/router/requests.py
+++ b/anvilshift/router/requests.py
@@ -98,8 +98,8 @@
     content: str
     deadline: Millis
     arrived: Millis
-    prompt_bound: int
-    answer_bound: int
+    max_prompt_tokens: int
+    max_answer_tokens: int
     non_idempotent: bool
     stream: bool = False
     body: dict[str, Any] | None = None
@@ -111,7 +111,7 @@
     @property
     def bound(self) -> int:
         """Return the maximum number of tokens that the request can cost."""
-        return self.prompt_bound + self.answer_bound
+        return self.max_prompt_tokens + self.max_answer_tokens
 
     @property
     def bill_key(self) -> str:
@@ -209,7 +209,7 @@
         raise AnvilshiftError(BAD_VALUE, f"{field}: {first_error['msg']}") from error
 
 
-def digest_chat(body: dict[str, Any]) -> str:
+def digest_chat_request(body: dict[str, Any]) -> str:
     """Return the digest of a chat request's work.
 
     It ignores `stream`, which changes only the form of the answer.
@@ -266,9 +266,9 @@
         organisation,
         route,
         now,
-        content=digest_chat(body),
-        prompt_bound=_bound_prompt(chat) + len(received.encode()),
-        answer_bound=limit,
+        content=digest_chat_request(body),
+        max_prompt_tokens=_bound_prompt(chat) + len(received.encode()),
+        max_answer_tokens=limit,
         stream=chat.stream,
         body=body,
         received=received,
@@ -327,7 +327,7 @@
     return tuple(digests)
 
 
-def digest_call(route: str, method: str, subpath: str, body: bytes) -> str:
+def digest_service_call(route: str, method: str, subpath: str, body: bytes) -> str:
     """Return the digest of the work of a call to a plain service."""
     return digest(route, method, subpath, body)
 
@@ -345,7 +345,7 @@
         organisation,
         route,
         now,
-        content=digest_call(route.name, request.method, subpath, request.body),
-        prompt_bound=route.cost,
-        answer_bound=0,
+        content=digest_service_call(route.name, request.method, subpath, request.body),
+        max_prompt_tokens=route.cost,
+        max_answer_tokens=0,
     )
--- a/anvilshift/router/runs.py
+++ b/anvilshift/router/runs.py
@@ -20,8 +20,8 @@
 )
 from anvilshift.core.transcripts import Transcript
 from anvilshift.core.work import NOT_EXECUTED, Failure, Send, Work
-from anvilshift.engines.engine import ModelCall, Piece, Usage
-from anvilshift.engines.http import LateAnswerError, TargetError
+from anvilshift.engines.engine import AnswerPart, ModelCall, Usage
+from anvilshift.engines.http import MismatchedAnswerError, TargetError
 from anvilshift.router.budgets import RouterBudgets
 from anvilshift.router.dispatching import DispatchLoop
 from anvilshift.router.progress import Progress
@@ -39,7 +39,7 @@
 
 
 @dataclass
-class Shared:
+class RunContext:
     """The components of a router that all its runs use."""
 
     incarnation: str
@@ -63,7 +63,7 @@
 
     def __init__(
         self,
-        shared: Shared,
+        shared: RunContext,
         job: Job,
         work: Work,
         on_end: Callable[["Run"], None] = lambda run: None,
@@ -194,7 +194,7 @@
         self._record_gaps()
         if self.error is None:
             span = shared.clock.now() - job.arrived
-            shared.telemetry.record_whole(organisation, kind, span)
+            shared.telemetry.record_whole_answer_wait(organisation, kind, span)
         logging.info(
             "request ended request=%s organisation=%s engine=%s code=%d tokens=%d",
             job.identity,
@@ -213,7 +213,7 @@
         dispatch = self._shared.dispatch
         send = await dispatch.submit(self._work, self._abandon_attempt)
         waited = self._shared.clock.now() - self.job.arrived
-        self._shared.telemetry.record_queue(
+        self._shared.telemetry.record_queue_wait(
             self.job.organisation.name, self.job.route.request_class, waited
         )
         while True:
@@ -259,7 +259,7 @@
             self._generation = None
 
     def _record_failure(self, send: Send, error: TargetError) -> None:
-        if isinstance(error, LateAnswerError):
+        if isinstance(error, MismatchedAnswerError):
             self._shared.telemetry.count_event("late_answer")
         logging.warning(
             "attempt failed request=%s engine=%s failure=%s",
@@ -296,7 +296,7 @@
             return False
         return self._shared.targets.is_silent(target)
 
-    async def _process_all(self, batches: AsyncGenerator[list[Piece]]) -> None:
+    async def _process_all(self, batches: AsyncGenerator[list[AnswerPart]]) -> None:
         async for batch in batches:
             self._process_batch(batch)
             if len(self.text) > _MAX_ANSWER_CHARS:
@@ -309,11 +309,11 @@
                 self.finish = "length"
                 return
 
-    def _process_batch(self, batch: list[Piece]) -> None:
+    def _process_batch(self, batch: list[AnswerPart]) -> None:
         now = self._last_received = self._shared.clock.now()
         grown = False
         for piece in batch:
-            if piece.text and self._tokens >= self.job.answer_bound:
+            if piece.text and self._tokens >= self.job.max_answer_tokens:
                 self._exceeds_bound = True
             elif piece.text:
                 grown = True
@@ -333,7 +333,9 @@
         if self._first_token_at is None:
             telemetry, job = self._shared.telemetry, self.job
             span = now - job.arrived
-            telemetry.record_first(job.organisation.name, job.route.request_class, span)
+            telemetry.record_first_token_wait(
+                job.organisation.name, job.route.request_class, span
+            )
             self._first_token_at = now
         else:
             self._longest_gap = max(self._longest_gap, now - self._last_token_at)
@@ -345,7 +347,7 @@
         if self._first_token_at is None or self._tokens < 2:
             return
         mean = (self._last_token_at - self._first_token_at) / (self._tokens - 1)
-        self._shared.telemetry.record_gaps(
+        self._shared.telemetry.record_token_gaps(
             self.job.organisation.name,
             self.job.route.request_class,
             mean,
@@ -368,7 +370,7 @@
         waited = self._shared.clock.now() - began
         self._shared.dispatch.recorded(waited)
         organisation, kind = job.organisation.name, job.route.request_class
-        self._shared.telemetry.record_bill(organisation, kind, waited)
+        self._shared.telemetry.record_bill_wait(organisation, kind, waited)
 
     def _limit_usage(self) -> Usage:
         """Return the usage to bill: the engine's count, limited to the reservation.
@@ -378,10 +380,10 @@
         was reserved for it.
         """
         job = self.job
-        counted = self.usage or Usage(job.prompt_bound, self._tokens)
+        counted = self.usage or Usage(job.max_prompt_tokens, self._tokens)
         usage = Usage(
-            min(max(counted.prompt, 0), job.prompt_bound),
-            min(max(counted.answer, 0), job.answer_bound),
+            min(max(counted.prompt, 0), job.max_prompt_tokens),
+            min(max(counted.answer, 0), job.max_answer_tokens),
         )
         if usage != counted:
             self._shared.telemetry.count_event("absurd_usage")
--- a/anvilshift/router/sealing.py
+++ b/anvilshift/router/sealing.py
@@ -8,7 +8,7 @@
 from anvilshift.core.holderaccounts import Bills
 from anvilshift.core.ledger import BillKey, Ledger
 from anvilshift.objects.cached import CachedObject
-from anvilshift.objects.ledgers import change_body
+from anvilshift.objects.ledgers import make_body_change
 
 BILL_LIFETIME_S = 150
 """Seconds for which a repeated request is recognised by its recorded bill, several
@@ -48,13 +48,13 @@
             return ledger
 
         async with self._lock:
-            await self._object.update(change_body(change))
+            await self._object.update(make_body_change(change))
         return states
 
     async def write_off(self, holder: str) -> None:
         """Remove a sealed holder; its tokens in doubt are counted as spent."""
         async with self._lock:
-            change = change_body(lambda ledger: ledger.write_off(holder))
+            change = make_body_change(lambda ledger: ledger.write_off(holder))
             await self._object.update(change)
 
     async def seal(self, incarnation: str) -> None:
@@ -67,7 +67,7 @@
             return ledger
 
         async with self._lock:
-            await self._object.update(change_body(change))
+            await self._object.update(make_body_change(change))
 
 
 def belongs(holder: str, incarnation: str) -> bool:
--- a/anvilshift/router/services.py
+++ b/anvilshift/router/services.py
@@ -14,8 +14,8 @@
 from anvilshift.engines.http import TargetError
 from anvilshift.router.progress import Progress
 from anvilshift.router.requests import KEY_HEADER, Job, digest
-from anvilshift.router.runs import Shared
-from anvilshift.wire.messages import Fields, HttpRequest
+from anvilshift.router.runs import RunContext
+from anvilshift.wire.messages import HeaderFields, HttpRequest
 
 _HEADERS_NOT_FORWARDED = {
     "authorization",
@@ -36,7 +36,7 @@
 class ServiceCall:
     """One call to a plain service, retried on other targets if an attempt fails."""
 
-    def __init__(self, shared: Shared, job: Job, request: HttpRequest, path: str):
+    def __init__(self, shared: RunContext, job: Job, request: HttpRequest, path: str):
         self._progress = Progress()
         # Two calls with the same key can run concurrently. The dispatcher needs a
         # separate id for each; the budget bills them only once.
@@ -95,7 +95,7 @@
         )
         latency = shared.clock.now() - job.arrived
         if error is None:
-            shared.telemetry.record_whole(name, request_class, latency)
+            shared.telemetry.record_whole_answer_wait(name, request_class, latency)
         logging.info(
             "call ended request=%s organisation=%s route=%s code=%d",
             job.identity,
@@ -139,7 +139,7 @@
         content_type = answer.headers.get("content-type") or _DEFAULT_CONTENT_TYPE
         return Answer(answer.status, content_type, answer.body.decode("latin-1"))
 
-    def _make_forwarded_headers(self) -> Fields:
+    def _make_forwarded_headers(self) -> HeaderFields:
         forwarded = [
             (name, value)
             for name, value in self._request.headers.pairs
--- a/anvilshift/router/telemetry.py
+++ b/anvilshift/router/telemetry.py
@@ -70,15 +70,17 @@
         self._permits = meter.create_counter("anvilshift_permits")
         self._limits = meter.create_gauge("anvilshift_target_limit")
 
-    def record_queue(self, organisation: str, kind: str, span: Millis) -> None:
+    def record_queue_wait(self, organisation: str, kind: str, span: Millis) -> None:
         """Record the time from a request's arrival until it was sent to a target."""
         self._queue.record(span, {"organisation": organisation, "class": kind})
 
-    def record_first(self, organisation: str, kind: str, span: Millis) -> None:
+    def record_first_token_wait(
+        self, organisation: str, kind: str, span: Millis
+    ) -> None:
         """Record the time from a request's arrival to its first token."""
         self._first.record(span, {"organisation": organisation, "class": kind})
 
-    def record_gaps(
+    def record_token_gaps(
         self, organisation: str, kind: str, mean: Millis, longest: Millis
     ) -> None:
         """Record the mean and the longest time between two tokens of an answer."""
@@ -86,11 +88,13 @@
         self._gap.record(mean, labels)
         self._longest_gap.record(longest, labels)
 
-    def record_whole(self, organisation: str, kind: str, span: Millis) -> None:
+    def record_whole_answer_wait(
+        self, organisation: str, kind: str, span: Millis
+    ) -> None:
         """Record the time from a request's arrival to the end of its answer."""
         self._whole.record(span, {"organisation": organisation, "class": kind})
 
-    def record_bill(self, organisation: str, kind: str, span: Millis) -> None:
+    def record_bill_wait(self, organisation: str, kind: str, span: Millis) -> None:
         """Record how long the end of an answer waited for its bill to be recorded."""
         self._bill.record(span, {"organisation": organisation, "class": kind})
 
--- a/anvilshift/standins/memory.py
+++ b/anvilshift/standins/memory.py
@@ -16,13 +16,13 @@
 from anvilshift.core.errors import PLATFORM_DOWN, PLATFORM_UNREADABLE, AnvilshiftError
 from anvilshift.objects.store import (
     Body,
-    Change,
-    Changes,
+    ChangeBatch,
     ConflictError,
     HostEntry,
     Listing,
-    Stored,
-    UncertainError,
+    ObjectChange,
+    StoredObject,
+    UncertainWriteError,
 )
 
 MAX_VALUE_BYTES = 1_000_000
@@ -78,7 +78,7 @@
     ----------
     max_age
         Maximum age, measured by `clock`, of a change in the history.
-    tells_conflicts
+    returns_conflicting_object
         Whether a conflict error contains the object as it is stored.
 
     Examples
@@ -94,17 +94,17 @@
         self,
         clock: Clock | None = None,
         max_age: Millis = math.inf,
-        tells_conflicts: bool = False,
+        returns_conflicting_object: bool = False,
     ) -> None:
         self.faults = MemoryFaults()
-        self.tells_conflicts = tells_conflicts
+        self.returns_conflicting_object = returns_conflicting_object
         self._clock = clock
         self._max_age = max_age
         self.calls: Counter[str] = Counter()
         self.host_entries: tuple[HostEntry, ...] = ()
         self.revision = 0
         self._objects: dict[tuple[str, str], _StoredText] = {}
-        self._history: deque[Change] = deque(maxlen=_MAX_CHANGES)
+        self._history: deque[ObjectChange] = deque(maxlen=_MAX_CHANGES)
         self._change_times: deque[Millis] = deque(maxlen=_MAX_CHANGES)
         self._discarded_revision = 0
         self._watch_events: dict[asyncio.Event, None] = {}
@@ -113,7 +113,7 @@
         """Return the view through which one caller accesses the store."""
         return MemoryView(self, caller)
 
-    def peek(self, kind: str, name: str) -> Body | None:
+    def read_ignoring_faults(self, kind: str, name: str) -> Body | None:
         """Return an object's body regardless of faults, for assertions in tests."""
         current = self._objects.get((kind, name))
         return json.loads(current.text) if current else None
@@ -129,7 +129,7 @@
         self._discarded_revision = self.revision
         self._wake()
 
-    async def get(self, kind: str, name: str) -> Stored | None:
+    async def get(self, kind: str, name: str) -> StoredObject | None:
         """Return an object, or None if it does not exist."""
         return await self.view("").get(kind, name)
 
@@ -137,7 +137,7 @@
         """Return all objects of the given kinds at one revision."""
         return await self.view("").list(kinds)
 
-    async def put(self, kind: str, name: str, body: Body, version: int) -> Stored:
+    async def put(self, kind: str, name: str, body: Body, version: int) -> StoredObject:
         """Write an object if its version is still `version`; 0 creates it."""
         return await self.view("").put(kind, name, body, version)
 
@@ -145,7 +145,9 @@
         """Delete an object if its version is still `version`; return the revision."""
         return await self.view("").delete(kind, name, version)
 
-    async def watch(self, kinds: Iterable[str], after: int, wait: Millis) -> Changes:
+    async def watch(
+        self, kinds: Iterable[str], after: int, wait: Millis
+    ) -> ChangeBatch:
         """Wait up to `wait` milliseconds for changes after revision `after`."""
         return await self.view("").watch(kinds, after, wait)
 
@@ -153,20 +155,22 @@
         """Return the list of hosts."""
         return await self.view("").hosts()
 
-    def _read(self, kind: str, name: str) -> Stored | None:
+    def _read(self, kind: str, name: str) -> StoredObject | None:
         current = self._objects.get((kind, name))
         if current is None:
             return None
-        return Stored(kind, name, current.version, json.loads(current.text))
+        return StoredObject(kind, name, current.version, json.loads(current.text))
 
     def _read_all(self, kinds: frozenset[str]) -> Listing:
         found = [self._read(*key) for key in self._objects if key[0] in kinds]
         return Listing(self.revision, tuple(item for item in found if item))
 
-    def _write(self, kind: str, name: str, body: Body | None, version: int) -> Stored:
+    def _write(
+        self, kind: str, name: str, body: Body | None, version: int
+    ) -> StoredObject:
         current = self._objects.get((kind, name))
         if version != (current.version if current else 0):
-            found = self._read(kind, name) if self.tells_conflicts else None
+            found = self._read(kind, name) if self.returns_conflicting_object else None
             raise ConflictError(f"{kind}/{name}", found)
         text = json.dumps(body)
         if len(text) > MAX_VALUE_BYTES:
@@ -180,10 +184,10 @@
             self._objects[kind, name] = _StoredText(self.revision, text)
         if len(self._history) == _MAX_CHANGES:
             self._discarded_revision = self._history[0].version
-        self._history.append(Change(kind, name, self.revision, json.loads(text)))
+        self._history.append(ObjectChange(kind, name, self.revision, json.loads(text)))
         self._change_times.append(self._clock.now() if self._clock else 0.0)
         self._wake()
-        return Stored(kind, name, self.revision, json.loads(text) or {})
+        return StoredObject(kind, name, self.revision, json.loads(text) or {})
 
     def _discard_expired(self) -> None:
         now = self._clock.now() if self._clock else 0.0
@@ -191,17 +195,17 @@
             self._change_times.popleft()
             self._discarded_revision = self._history.popleft().version
 
-    def _changes_since(self, kinds: frozenset[str], after: int) -> Changes | None:
+    def _changes_since(self, kinds: frozenset[str], after: int) -> ChangeBatch | None:
         self._discard_expired()
         if after < self._discarded_revision:
-            return Changes(after, too_old=True)
+            return ChangeBatch(after, too_old=True)
         found = []
         for change in reversed(self._history):
             if change.version <= after:
                 break
             if change.kind in kinds:
                 found.append(change)
-        return Changes(self.revision, tuple(found[::-1])) if found else None
+        return ChangeBatch(self.revision, tuple(found[::-1])) if found else None
 
     def _wake(self) -> None:
         for event in list(self._watch_events):
@@ -230,7 +234,7 @@
         await self._store.faults.after(self._caller, operation)
         self._reach()
 
-    async def get(self, kind: str, name: str) -> Stored | None:
+    async def get(self, kind: str, name: str) -> StoredObject | None:
         """Return an object, or None if it does not exist."""
         await self._begin("get")
         found = self._store._read(kind, name)
@@ -244,7 +248,7 @@
         await self._end("list")
         return found
 
-    async def put(self, kind: str, name: str, body: Body, version: int) -> Stored:
+    async def put(self, kind: str, name: str, body: Body, version: int) -> StoredObject:
         """Write an object if its version is still `version`; 0 creates it."""
         return await self._write("put", kind, name, body, version)
 
@@ -256,25 +260,27 @@
 
     async def _write(
         self, operation: str, kind: str, name: str, body: Body | None, version: int
-    ) -> Stored:
+    ) -> StoredObject:
         await self._begin(operation)
         faults = self._store.faults
         if faults.lose_writes:
             faults.lose_writes -= 1
-            raise UncertainError("the write was lost before it took effect")
+            raise UncertainWriteError("the write was lost before it took effect")
         stored = self._store._write(kind, name, body, version)
         if faults.lose_answers:
             faults.lose_answers -= 1
-            raise UncertainError("the answer to the write was lost")
+            raise UncertainWriteError("the answer to the write was lost")
         try:
             await self._end(operation)
         except AnvilshiftError as error:
-            raise UncertainError(
+            raise UncertainWriteError(
                 "the platform became unreachable during the write"
             ) from error
         return stored
 
-    async def watch(self, kinds: Iterable[str], after: int, wait: Millis) -> Changes:
+    async def watch(
+        self, kinds: Iterable[str], after: int, wait: Millis
+    ) -> ChangeBatch:
         """Wait up to `wait` milliseconds for changes after revision `after`."""
         wanted = frozenset(kinds)
         await self._begin("watch")
@@ -286,7 +292,7 @@
                     event.clear()
                     await event.wait()
         except TimeoutError:
-            found = Changes(self._store.revision)
+            found = ChangeBatch(self._store.revision)
         finally:
             self._store._watch_events.pop(event, None)
         await self._end("watch")
--- a/anvilshift/wire/client.py
+++ b/anvilshift/wire/client.py
@@ -13,9 +13,9 @@
 from anvilshift.wire.messages import (
     RECEIVE_BUFFER,
     Address,
-    Fields,
+    HeaderFields,
     Headers,
-    HttpAnswer,
+    HttpResponse,
     set_tcp_timeouts,
 )
 
@@ -113,7 +113,7 @@
             self.transport.pause_reading()
         self._event_ready.set()
 
-    def send(self, method: str, path: str, headers: Fields, body: bytes) -> None:
+    def send(self, method: str, path: str, headers: HeaderFields, body: bytes) -> None:
         assert self.transport is not None
         # Latin-1 round-trips every byte, so the caller's header fields are
         # forwarded unchanged.
@@ -291,7 +291,7 @@
         address: Address,
         method: str,
         path: str,
-        headers: Fields | None = None,
+        headers: HeaderFields | None = None,
         body: bytes = b"",
         timeout: Millis | None = None,
         host: str | None = None,
@@ -353,10 +353,10 @@
         address: Address,
         method: str,
         path: str,
-        headers: Fields | None = None,
+        headers: HeaderFields | None = None,
         body: bytes = b"",
         timeout: Millis | None = None,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Send a request and return the complete answer within one timeout."""
         try:
             async with (
@@ -364,7 +364,7 @@
                 self.exchange(address, method, path, headers, body) as response,
             ):
                 content = await response.read()
-                return HttpAnswer(response.status, response.headers, content)
+                return HttpResponse(response.status, response.headers, content)
         except TimeoutError as error:
             raise ExchangeError(f"{address} did not answer in time", True) from error
 
--- a/anvilshift/wire/messages.py
+++ b/anvilshift/wire/messages.py
@@ -100,7 +100,7 @@
         return found[0] if found else None
 
 
-def list_hop_headers(headers: Headers) -> set[str]:
+def list_connection_options(headers: Headers) -> set[str]:
     """Return the lower-case names of the fields listed in the Connection header.
 
     These apply to a single connection, and a proxy must not forward them.
@@ -111,7 +111,7 @@
 
     Examples
     --------
-    >>> sorted(list_hop_headers(Headers([("Connection", "close, X-Hop")])))
+    >>> sorted(list_connection_options(Headers([("Connection", "close, X-Hop")])))
     ['close', 'x-hop']
     """
     return {
@@ -143,7 +143,7 @@
 
 
 @dataclass(frozen=True)
-class HttpAnswer:
+class HttpResponse:
     """An answer that a client has received completely."""
 
     status: int
@@ -180,7 +180,7 @@
 DEFAULT_LIMITS = Limits()
 JSON_TYPE = ("content-type", "application/json")
 EVENT_STREAM_TYPE = ("content-type", "text/event-stream")
-Fields = list[tuple[str, str]]
+HeaderFields = list[tuple[str, str]]
 
 
 @dataclass(frozen=True)
@@ -188,5 +188,5 @@
     """A complete answer, sent with a content length."""
 
     status: int = 200
-    headers: Fields = field(default_factory=list)
+    headers: HeaderFields = field(default_factory=list)
     body: bytes = b""
--- a/anvilshift/wire/server.py
+++ b/anvilshift/wire/server.py
@@ -23,7 +23,7 @@
     JSON_TYPE,
     RECEIVE_BUFFER,
     Address,
-    Fields,
+    HeaderFields,
     Headers,
     HttpRequest,
     Limits,
@@ -35,7 +35,7 @@
 _HEAD_TOO_LARGE_STATUS = 431
 
 
-class CallerGoneError(ConnectionError):
+class CallerDisconnectedError(ConnectionError):
     """The peer closed the connection or stopped reading before the answer ended."""
 
 
@@ -53,7 +53,9 @@
         await self.start(reply.status, [*reply.headers, length], hold=True)
         await self.finish(reply.body)
 
-    async def start(self, status: int, headers: Fields, hold: bool = False) -> None:
+    async def start(
+        self, status: int, headers: HeaderFields, hold: bool = False
+    ) -> None:
         """Write the head; the body is chunked if the head has no content length.
 
         Parameters
@@ -63,7 +65,7 @@
             in one packet.
         """
         self.started = True
-        if self._connection.parting:
+        if self._connection.is_draining:
             headers = [*headers, ("connection", "close")]
         head = h11.Response(status_code=status, headers=headers)
         self._connection.send(head, hold=hold)
@@ -92,7 +94,7 @@
 
 def render_error(error: AnvilshiftError) -> Reply:
     """Return the answer that reports an error to the caller."""
-    headers: Fields = [JSON_TYPE]
+    headers: HeaderFields = [JSON_TYPE]
     body: dict[str, object] = {
         "code": error.code.number,
         "name": error.code.name,
@@ -135,9 +137,9 @@
         return self._task is not None
 
     @property
-    def parting(self) -> bool:
+    def is_draining(self) -> bool:
         """Return whether the server closes connections after their next answer."""
-        return self._server.parting
+        return self._server.is_draining
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -225,7 +227,7 @@
             await self._server.handler(request, responder)
         except AnvilshiftError as error:
             await self._answer_error(responder, error)
-        except (CallerGoneError, asyncio.CancelledError):
+        except (CallerDisconnectedError, asyncio.CancelledError):
             self.abort()
         except Exception:
             logging.exception("handler failed path=%s", request.path)
@@ -241,7 +243,7 @@
         if responder.started:
             self.abort()
             return
-        with contextlib.suppress(CallerGoneError, h11.LocalProtocolError):
+        with contextlib.suppress(CallerDisconnectedError, h11.LocalProtocolError):
             await responder.send(render_error(error))
 
     def _start_next_request(self) -> None:
@@ -269,7 +271,7 @@
             status_code=reply.status,
             headers=[*reply.headers, length, ("connection", "close")],
         )
-        with contextlib.suppress(h11.LocalProtocolError, CallerGoneError):
+        with contextlib.suppress(h11.LocalProtocolError, CallerDisconnectedError):
             for event in (head, h11.Data(data=reply.body), h11.EndOfMessage()):
                 self.send(event)
         if self._transport is not None:
@@ -277,7 +279,7 @@
 
     def send(self, event: h11.Event, hold: bool = False) -> None:
         if self._closed or self._transport is None:
-            raise CallerGoneError("the caller closed the connection")
+            raise CallerDisconnectedError("the caller closed the connection")
         self._unsent += self._h11.send(event) or b""
         if self._unsent and not hold:
             self._transport.write(self._unsent)
@@ -293,9 +295,9 @@
             # A caller that stops reading would occupy its buffer and its engine
             # slot indefinitely.  Aborting the connection frees both.
             self.abort()
-            raise CallerGoneError("the caller stopped reading") from None
+            raise CallerDisconnectedError("the caller stopped reading") from None
         if self._closed:
-            raise CallerGoneError("the caller closed the connection")
+            raise CallerDisconnectedError("the caller closed the connection")
 
     def abort(self) -> None:
         if self._transport is not None:
@@ -336,7 +338,7 @@
 
     Attributes
     ----------
-    parting
+    is_draining
         Whether answers carry ``connection: close``, so that callers connect to
         another router.
     """
@@ -346,7 +348,7 @@
         self.limits = limits
         self.connections: set[_Connection] = set()
         self.stopping = False
-        self.parting = False
+        self.is_draining = False
         self._server: asyncio.Server | None = None
 
     async def start(self, address: Address) -> Address:
--- a/bench/budgets.py
+++ b/bench/budgets.py
@@ -113,7 +113,7 @@
                 outcomes.append(outcome)
                 return ledger
 
-            body = ledgers.change_body(change)
+            body = ledgers.make_body_change(change)
             await update(self._store, LEDGER_KIND, LEDGER_NAME, body)
             self._holder_accounts.finish_commit(commit, outcomes[-1])
 
@@ -276,7 +276,9 @@
     @property
     def ledger(self) -> Ledger:
         """Return the ledger as the platform stores it."""
-        return decode(Ledger, self.store.peek(LEDGER_KIND, LEDGER_NAME) or {})
+        return decode(
+            Ledger, self.store.read_ignoring_faults(LEDGER_KIND, LEDGER_NAME) or {}
+        )
 
     @property
     def overspend(self) -> int:
--- a/bench/inforce.py
+++ b/bench/inforce.py
@@ -12,7 +12,7 @@
 
 from anvilshift.core.clock import SECOND, MonotonicClock
 from anvilshift.objects.store import HttpObjectStore, update
-from anvilshift.operator.platformside import wait_accepted
+from anvilshift.operator.administration import wait_until_in_force
 from bench.fleet import LocalFleet
 
 _SINGLE_CHANGES = 40
@@ -46,7 +46,9 @@
 
     async def wait_until_accepted(self, revision: int) -> None:
         """Wait until every router has acknowledged a revision."""
-        acceptance = await wait_accepted(self.store, self.clock, revision, 20 * SECOND)
+        acceptance = await wait_until_in_force(
+            self.store, self.clock, revision, 20 * SECOND
+        )
         if not acceptance.accepted:
             raise TimeoutError(f"waited 20 s, not acknowledged by {acceptance.waiting}")
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -202,11 +202,11 @@
     telemetry = Telemetry()
     for index in range(size):
         name = f"organisation-{index:03}"
-        telemetry.record_queue(name, "advice", 1.0)
-        telemetry.record_first(name, "advice", 1.0)
-        telemetry.record_whole(name, "advice", 1.0)
-        telemetry.record_bill(name, "advice", 1.0)
-        telemetry.record_gaps(name, "advice", 1.0, 1.0)
+        telemetry.record_queue_wait(name, "advice", 1.0)
+        telemetry.record_first_token_wait(name, "advice", 1.0)
+        telemetry.record_whole_answer_wait(name, "advice", 1.0)
+        telemetry.record_bill_wait(name, "advice", 1.0)
+        telemetry.record_token_gaps(name, "advice", 1.0, 1.0)
         telemetry.count_answer(name, "advice", None)
     return float(len(telemetry.render()))
 
--- a/bench/soak/books.py
+++ b/bench/soak/books.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from anvilshift.core.account import make_mark
-from anvilshift.objects.ledgers import LEDGER_KIND, read_body
+from anvilshift.objects.ledgers import LEDGER_KIND, decode_ledger
 
 if TYPE_CHECKING:
     from bench.soak.run import Soak
@@ -53,7 +53,7 @@
     journal = soak.journal
     live = tuple(entry.node.incarnation for entry in soak.entries.values())
     for name in soak.store.names(LEDGER_KIND):
-        ledger = read_body(soak.store.peek(LEDGER_KIND, name))
+        ledger = decode_ledger(soak.store.read_ignoring_faults(LEDGER_KIND, name))
         for account in ledger.accounts.values():
             for holder, grant in account.grants.items():
                 returned = not grant.held or holder.startswith(live)
--- a/bench/soak/faults.py
+++ b/bench/soak/faults.py
@@ -7,7 +7,7 @@
 from anvilshift.core.clock import SECOND
 from anvilshift.core.errors import AnvilshiftError
 from anvilshift.objects.store import HostEntry
-from anvilshift.operator.platformside import wait_accepted
+from anvilshift.operator.administration import wait_until_in_force
 from bench.soak.course import DrawRecord, Event, ReplayableRandom
 
 if TYPE_CHECKING:
@@ -283,7 +283,7 @@
             assert found is not None
             body = {**found.body, "priority": self._rng.randrange(100)}
             written = await store.put("Policy", "all", body, found.version)
-            accepted = await wait_accepted(
+            accepted = await wait_until_in_force(
                 store, self._soak.clock, written.version, 60 * SECOND
             )
         except AnvilshiftError:
--- a/bench/soak/http.py
+++ b/bench/soak/http.py
@@ -12,10 +12,10 @@
 from anvilshift.wire.client import ExchangeError
 from anvilshift.wire.messages import (
     Address,
-    Fields,
+    HeaderFields,
     Headers,
-    HttpAnswer,
     HttpRequest,
+    HttpResponse,
     Reply,
 )
 from anvilshift.wire.server import render_error
@@ -48,7 +48,9 @@
         await self.start(reply.status, reply.headers)
         await self.finish(reply.body)
 
-    async def start(self, status: int, headers: Fields, hold: bool = False) -> None:
+    async def start(
+        self, status: int, headers: HeaderFields, hold: bool = False
+    ) -> None:
         """Write the status and the headers."""
         self.started = True
         await self._process.wait_running()
@@ -155,7 +157,7 @@
         address: Address,
         method: str,
         path: str,
-        headers: Fields | None = None,
+        headers: HeaderFields | None = None,
         body: bytes = b"",
         timeout: Millis | None = None,
     ) -> AsyncIterator[SoakResponse]:
@@ -202,10 +204,10 @@
         address: Address,
         method: str,
         path: str,
-        headers: Fields | None = None,
+        headers: HeaderFields | None = None,
         body: bytes = b"",
         timeout: Millis | None = None,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Send a request and return its complete answer."""
         try:
             async with (
@@ -213,7 +215,7 @@
                 self.exchange(address, method, path, headers, body) as response,
             ):
                 whole = await response.read()
-                return HttpAnswer(response.status, response.headers, whole)
+                return HttpResponse(response.status, response.headers, whole)
         except TimeoutError as error:
             raise ExchangeError("no answer in time", True) from error
 
--- a/bench/soak/network.py
+++ b/bench/soak/network.py
@@ -15,7 +15,7 @@
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.declarations import Engine
 from anvilshift.core.work import CacheEvent, Failure, LoadReport
-from anvilshift.engines.engine import ModelCall, Order, Piece, Usage
+from anvilshift.engines.engine import AnswerPart, ModelCall, Order, Usage
 from anvilshift.engines.http import TargetError
 from anvilshift.peers.generated.peers_pb2 import (
     GiveBackReply,
@@ -26,7 +26,7 @@
 )
 from anvilshift.peers.link import PeerError
 from anvilshift.standins.engine import POISON, make_token, read_prompt
-from anvilshift.wire.messages import Fields, Headers, HttpAnswer
+from anvilshift.wire.messages import HeaderFields, Headers, HttpResponse
 from bench.soak.journal import Journal
 from bench.soak.limits import STABLE, LimitWatch
 
@@ -178,7 +178,9 @@
     def _restart(self) -> None:
         self.up = True
 
-    async def run(self, source: str, call: ModelCall) -> AsyncIterator[list[Piece]]:
+    async def run(
+        self, source: str, call: ModelCall
+    ) -> AsyncIterator[list[AnswerPart]]:
         """Yield the pieces of an answer as the engine generates them."""
         prompt = read_prompt(call.body)
         self._journal.record_engine_run(self.name, prompt, self.leaving_since)
@@ -192,9 +194,9 @@
             for position in range(len(call.received.split()), limit):
                 await asyncio.sleep(_DECODE_TIME * self.slow / SECOND)
                 self._check_stream(source, call)
-                yield [Piece(make_token(prompt, position))]
+                yield [AnswerPart(make_token(prompt, position))]
             usage = Usage(len(prompt) // 4 + 1, limit)
-            yield [Piece("", 0, "stop", usage)]
+            yield [AnswerPart("", 0, "stop", usage)]
         finally:
             self.running -= 1
 
@@ -242,7 +244,7 @@
     @asynccontextmanager
     async def generate(
         self, call: ModelCall, timeout: Millis
-    ) -> AsyncIterator[AsyncIterator[list[Piece]]]:
+    ) -> AsyncIterator[AsyncIterator[list[AnswerPart]]]:
         """Start an answer and yield the iterator of its pieces."""
         await self._reach()
         pieces = self._engine.run(self._process.name, call)
@@ -252,8 +254,8 @@
             await pieces.aclose()  # type: ignore[attr-defined]
 
     async def _receive(
-        self, pieces: AsyncIterator[list[Piece]]
-    ) -> AsyncIterator[list[Piece]]:
+        self, pieces: AsyncIterator[list[AnswerPart]]
+    ) -> AsyncIterator[list[AnswerPart]]:
         async for batch in pieces:
             await self._process.wait_running()
             yield batch
@@ -293,11 +295,11 @@
         self.lose_answers = 0.0
         self._journal = journal
 
-    def run(self, body: bytes) -> HttpAnswer:
+    def run(self, body: bytes) -> HttpResponse:
         """Run an order and return how often it has run."""
         count = self._journal.record_service_run(body.decode())
         headers = Headers([("content-type", "application/json")])
-        return HttpAnswer(201, headers, f'{{"ran":{count}}}'.encode())
+        return HttpResponse(201, headers, f'{{"ran":{count}}}'.encode())
 
 
 class SoakServiceAdapter:
@@ -311,8 +313,13 @@
         self._network = network
 
     async def call(
-        self, method: str, path: str, headers: Fields, body: bytes, timeout: Millis
-    ) -> HttpAnswer:
+        self,
+        method: str,
+        path: str,
+        headers: HeaderFields,
+        body: bytes,
+        timeout: Millis,
+    ) -> HttpResponse:
         """Forward a call; its answer may be lost after the order has run."""
         await self._process.wait_running()
         network = self._network
--- a/bench/soak/observed.py
+++ b/bench/soak/observed.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 
 from anvilshift.core.ledger import Ledger
-from anvilshift.objects.ledgers import LEDGER_KIND, read_body
-from anvilshift.objects.store import Body, Stored
+from anvilshift.objects.ledgers import LEDGER_KIND, decode_ledger
+from anvilshift.objects.store import Body, StoredObject
 from anvilshift.standins.memory import MemoryStore, MemoryView
 from bench.soak.network import NodeProcess
 
@@ -17,10 +17,12 @@
         super().__init__()
         self._observe = observe
 
-    def _write(self, kind: str, name: str, body: Body | None, version: int) -> Stored:
+    def _write(
+        self, kind: str, name: str, body: Body | None, version: int
+    ) -> StoredObject:
         stored = super()._write(kind, name, body, version)
         if kind == LEDGER_KIND and body is not None:
-            self._observe(read_body(body))
+            self._observe(decode_ledger(body))
         return stored
 
 
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -16,7 +16,7 @@
 from anvilshift.core.account import KEY_CHARS, MARK_CHARS, make_mark
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.ledger import Ledger
-from anvilshift.operator.platformside import top_up
+from anvilshift.operator.administration import top_up
 from anvilshift.router.accesscontrol import hash_token
 from anvilshift.router.node import Node, World
 from anvilshift.router.requests import digest
--- a/bench/soak/traffic.py
+++ b/bench/soak/traffic.py
@@ -6,7 +6,7 @@
 
 from anvilshift.client.client import CallError, Client, Conversation
 from anvilshift.core.clock import SECOND, Millis
-from anvilshift.router.requests import digest_call, digest_chat
+from anvilshift.router.requests import digest_chat_request, digest_service_call
 from anvilshift.standins.engine import POISON, make_answer
 from anvilshift.wire.messages import Address
 from bench.soak.changes import make_prefix
@@ -89,7 +89,7 @@
         cost = len(prompt) // 4 + 1 + tokens
         body = {"model": "advice", "messages": messages, "max_tokens": tokens}
         request = CallerRequest(organisation, prompt, cost)
-        identity = self._soak.register_request(key, digest_chat(body), request)
+        identity = self._soak.register_request(key, digest_chat_request(body), request)
         conversation = Conversation("advice", messages, tokens, _DEADLINE, key)
         try:
             text = await self._client(organisation).ask(conversation)
@@ -107,7 +107,7 @@
         number = next(self._soak.numbers)
         key = f"order-{number}"
         order = f"{organisation}|order {number}"
-        content = digest_call("orders", "POST", "book", order.encode())
+        content = digest_service_call("orders", "POST", "book", order.encode())
         request = CallerRequest(organisation, order, ORDER_COST)
         identity = self._soak.register_request(key, content, request)
         twice = self._soak.rng.random() < 0.3
--- a/tests/bench/test_observed.py
+++ b/tests/bench/test_observed.py
@@ -19,7 +19,9 @@
         await ProcessView(store, new).put("Router", "r1", {"incarnation": "new"}, 0)
         await asyncio.sleep(0)
         self.assertFalse(writing.done())
-        self.assertEqual(store.peek("Router", "r1"), {"incarnation": "new"})
+        self.assertEqual(
+            store.read_ignoring_faults("Router", "r1"), {"incarnation": "new"}
+        )
         writing.cancel()
 
     async def test_frozen_node_continues_when_resumed(self):
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -33,7 +33,7 @@
 
     def __init__(self, recording: bool = False) -> None:
         self.clock = VirtualClock()
-        self.store = MemoryStore(self.clock, HISTORY, tells_conflicts=True)
+        self.store = MemoryStore(self.clock, HISTORY, returns_conflicting_object=True)
         self.recording = recording
         self.allotters: dict[str, ShareManager] = {}
         self.reservations: dict[str, Reservations] = {}
@@ -177,7 +177,7 @@
         return self.spent + sum(live)
 
     def read(self):
-        return read_allotments(self.store.peek(KIND, NAME)).of(POUNDS)
+        return read_allotments(self.store.read_ignoring_faults(KIND, NAME)).of(POUNDS)
 
     def stop(self) -> None:
         for tasks in self.tasks.values():
--- a/tests/integration/fleetcase.py
+++ b/tests/integration/fleetcase.py
@@ -8,13 +8,13 @@
 from anvilshift.client.client import CallError, Client, Conversation
 from anvilshift.core.clock import MonotonicClock
 from anvilshift.objects.store import HttpObjectStore
-from anvilshift.operator.platformside import (
+from anvilshift.operator.administration import (
+    apply_differences,
     compare,
     read_stored,
     read_usage,
     top_up,
-    wait_accepted,
-    write_differences,
+    wait_until_in_force,
 )
 from anvilshift.settings.declarations import read_documents
 from anvilshift.standins.engine import make_answer
@@ -59,8 +59,10 @@
         """Apply the declarations as the operators' command does, in process."""
         documents = read_documents(str(self.fleet.declarations))
         wanted = compare(documents, await read_stored(self.store), False)
-        newest, _ = await write_differences(self.store, documents, wanted)
-        found = await wait_accepted(self.store, MonotonicClock(), newest, 10_000.0)
+        newest, _ = await apply_differences(self.store, documents, wanted)
+        found = await wait_until_in_force(
+            self.store, MonotonicClock(), newest, 10_000.0
+        )
         self.assertTrue(found.accepted)
 
     async def asyncTearDown(self):
--- a/tests/objects/test_http_store.py
+++ b/tests/objects/test_http_store.py
@@ -12,12 +12,12 @@
 from anvilshift.objects.store import (
     ConflictError,
     HttpObjectStore,
-    UncertainError,
+    UncertainWriteError,
     update,
 )
 from anvilshift.standins.platform import PlatformStandin
 from anvilshift.wire.client import HttpClient
-from anvilshift.wire.messages import Address, Headers, HttpAnswer
+from anvilshift.wire.messages import Address, Headers, HttpResponse
 
 LOOPBACK = Address("127.0.0.1", 0)
 
@@ -52,14 +52,14 @@
         for fault in ("errors", "garbage", "lose_answers"):
             with self.subTest(fault=fault):
                 setattr(self.platform.faults, fault, 1.0)
-                with self.assertRaises(UncertainError):
+                with self.assertRaises(UncertainWriteError):
                     await self.store.put("Note", fault, {}, 0)
                 setattr(self.platform.faults, fault, 0.0)
 
     async def test_silence_ends_by_the_timeout(self):
         self.platform.faults.delay_ms = 5_000.0
         self.assertEqual(await self.code_of(self.store.get("Note", "a")), 5001)
-        with self.assertRaises(UncertainError):
+        with self.assertRaises(UncertainWriteError):
             await self.store.put("Note", "a", {}, 0)
 
     async def test_race_is_a_conflict_and_update_goes_on(self):
@@ -89,7 +89,7 @@
 
             try:
                 await update(self.store, "Ledger", "main", change)
-            except UncertainError:
+            except UncertainWriteError:
                 await update(self.store, "Ledger", "main", change)
         self.platform.faults.lose_answers = 0.0
         stored = await self.store.get("Ledger", "main")
@@ -112,7 +112,7 @@
     """An HTTP client whose every call gets one answer."""
 
     def __init__(self, status, body):
-        self.answer = HttpAnswer(status, Headers([]), body)
+        self.answer = HttpResponse(status, Headers([]), body)
 
     async def call(self, *arguments):
         return self.answer
--- a/tests/objects/test_paced.py
+++ b/tests/objects/test_paced.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from anvilshift.objects.paced import PacedStore
+from anvilshift.objects.paced import RateLimitedStore
 from anvilshift.standins.memory import MemoryStore
 from anvilshift.standins.virtual import VirtualClock
 from tests.router.nodes import VirtualTestCase
@@ -12,7 +12,7 @@
     async def asyncSetUp(self):
         self.platform = MemoryStore()
         clock = VirtualClock()
-        self.store = PacedStore(self.platform, clock, rate=10.0, burst=2.0)
+        self.store = RateLimitedStore(self.platform, clock, rate=10.0, burst=2.0)
         self.order = []
 
     def now(self):
--- a/tests/operator/test_verbs.py
+++ b/tests/operator/test_verbs.py
@@ -8,8 +8,8 @@
 import yaml
 
 from anvilshift.objects.store import HttpObjectStore, update
-from anvilshift.operator.checking import cross_check
-from anvilshift.operator.explaining import explain
+from anvilshift.operator.explanations import explain
+from anvilshift.operator.validation import cross_check
 from anvilshift.settings.declarations import parse_declaration
 from bench.fleet import OPERATOR_TOKEN, LocalFleet, wait_until
 
--- a/tests/platform/stubs.py
+++ b/tests/platform/stubs.py
@@ -6,7 +6,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 from anvilshift.wire.messages import Address, HttpRequest, Reply
-from anvilshift.wire.server import CallerGoneError, HttpServer, Responder
+from anvilshift.wire.server import CallerDisconnectedError, HttpServer, Responder
 
 LOOPBACK = Address("127.0.0.1", 0)
 
@@ -210,7 +210,7 @@
             if self.crash_after is not None and number > self.crash_after:
                 await responder.write(b"id: %d\nda" % number)
                 responder.abort()
-                raise CallerGoneError("crashed")
+                raise CallerDisconnectedError("crashed")
             await responder.write(b"id: %d\ndata: t%d\n\n" % (number, number))
             await asyncio.sleep(self.pace)
         await responder.finish()
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -3,7 +3,7 @@
 
 from anvilshift.core.errors import AnvilshiftError
 from anvilshift.core.routing import RequestKind
-from anvilshift.gateway.border import Delivery
+from anvilshift.gateway.border import TargetFields
 from anvilshift.platform.dialect import PlatformDialect
 from anvilshift.wire.messages import Headers, HttpRequest
 
@@ -159,8 +159,8 @@
                 self.assertEqual(caught.exception.code.number, 1009)
 
     def test_reserved_and_hop_headers_are_replaced_when_forwarding(self):
-        delivery = Delivery("i-1", "hule930", 1234.9, 3, "10.0.0.2:80", "17")
-        fields = self.dialect.write_delivery(make_request(), delivery)
+        delivery = TargetFields("i-1", "hule930", 1234.9, 3, "10.0.0.2:80", "17")
+        fields = self.dialect.write_target_fields(make_request(), delivery)
         found = dict(fields)
         self.assertEqual(len(found), len(fields))
         self.assertEqual(found["x-other"], "kept")
@@ -174,35 +174,41 @@
             self.assertNotIn(name, found)
 
     def test_an_anonymous_request_names_no_organisation(self):
-        fields = self.dialect.write_delivery(make_request(), Delivery("i-1", None, 5.0))
+        fields = self.dialect.write_target_fields(
+            make_request(), TargetFields("i-1", None, 5.0)
+        )
         self.assertNotIn("anvilshift-tenant", dict(fields))
 
     def test_an_answer_is_decoded(self):
         signed = Headers(
             [("Anvilshift-Attempt-Id", "9c41"), ("Anvilshift-Engine-Signature", "s")]
         )
-        notes = self.dialect.read_notes(200, signed)
+        notes = self.dialect.read_answer_fields(200, signed)
         self.assertEqual(
             (notes.identity, notes.signed, notes.not_run), ("9c41", True, False)
         )
-        shed = self.dialect.read_notes(503, Headers([("Anvilshift-Not-Executed", "1")]))
+        shed = self.dialect.read_answer_fields(
+            503, Headers([("Anvilshift-Not-Executed", "1")])
+        )
         self.assertTrue(shed.not_run)
-        self.assertTrue(self.dialect.read_notes(421, Headers()).misdirected)
+        self.assertTrue(self.dialect.read_answer_fields(421, Headers()).misdirected)
 
     def test_a_limit_is_a_number_of_requests_a_second(self):
         def read(value: str) -> float | None:
-            return self.dialect.read_notes(
+            return self.dialect.read_answer_fields(
                 200, Headers([("Server-Limit", value)])
             ).limit
 
-        self.assertIsNone(self.dialect.read_notes(200, Headers()).limit)
+        self.assertIsNone(self.dialect.read_answer_fields(200, Headers()).limit)
         self.assertEqual((read("1.6"), read(" 20 "), read("0")), (1.6, 20.0, 0.0))
         for value in ("", "soon", "-1", "inf", "nan", "1,2"):
             self.assertTrue(math.isnan(read(value)), value)
 
     def test_retry_after_is_read_in_seconds(self):
         def read(value: str) -> float | None:
-            return self.dialect.read_notes(503, Headers([("Retry-After", value)])).pause
+            return self.dialect.read_answer_fields(
+                503, Headers([("Retry-After", value)])
+            ).pause
 
         self.assertEqual((read("2"), read("0.25")), (2_000.0, 250.0))
         for value in ("soon", "-1", "Wed, 21 Oct 2015 07:28:00 GMT"):
--- a/tests/router/fleetlet.py
+++ b/tests/router/fleetlet.py
@@ -22,7 +22,7 @@
 from anvilshift.standins.memory import MemoryStore
 from anvilshift.standins.service import ServiceStandin
 from anvilshift.wire.client import HttpClient
-from anvilshift.wire.messages import Address, Fields, HttpAnswer
+from anvilshift.wire.messages import Address, HeaderFields, HttpResponse
 from anvilshift.wire.server import HttpServer
 from bench.fleet import make_address, wait_until
 
@@ -135,7 +135,7 @@
 
     @property
     def spent(self) -> int:
-        body = self.store.peek(LEDGER_KIND, LEDGER_NAME)
+        body = self.store.read_ignoring_faults(LEDGER_KIND, LEDGER_NAME)
         return decode(Ledger, body).account("b").spent
 
     async def post(
@@ -145,19 +145,19 @@
         *headers: tuple[str, str],
         router: int = 0,
         token: str = "pound",
-    ) -> HttpAnswer:
-        fields: Fields = [("authorization", f"Bearer {token}"), *headers]
+    ) -> HttpResponse:
+        fields: HeaderFields = [("authorization", f"Bearer {token}"), *headers]
         address = self.addresses[router]
         return await self.http.call(address, "POST", path, fields, body, 10_000)
 
-    async def book(self, key: str, drums: int = 1, **rest: Any) -> HttpAnswer:
+    async def book(self, key: str, drums: int = 1, **rest: Any) -> HttpResponse:
         body = json.dumps({"drums": drums}).encode()
         path = "/services/book/runs"
         return await self.post(path, body, ("idempotency-key", key), **rest)
 
     async def chat(
         self, prompt: str, *headers: tuple[str, str], tokens: int = 8, **rest: Any
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         body = make_chat(prompt, tokens, rest.pop("extra", {}))
         return await self.post("/v1/chat/completions", body, *headers, **rest)
 
@@ -190,7 +190,7 @@
     return json.dumps(body).encode()
 
 
-def read_code(answer: HttpAnswer) -> tuple[int, str]:
+def read_code(answer: HttpResponse) -> tuple[int, str]:
     """Return the number of an error and the fate of the work that it states."""
     error = json.loads(answer.body)["error"]
     return error["code"], error["fate"]
--- a/tests/router/nodes.py
+++ b/tests/router/nodes.py
@@ -26,7 +26,7 @@
         self._asyncioRunner = asyncio.Runner(loop_factory=VirtualLoop)
 
 
-class Nodes:
+class InProcessFleet:
     """A fleet of routers in one process, named `r1`, `r2` and so on."""
 
     def __init__(self, engine=None):
--- a/tests/router/test_acceptance.py
+++ b/tests/router/test_acceptance.py
@@ -4,15 +4,15 @@
 import random
 import unittest
 
-from anvilshift.objects.store import Changes, Listing, Stored
-from anvilshift.operator.platformside import (
+from anvilshift.objects.store import ChangeBatch, Listing, StoredObject
+from anvilshift.operator.administration import (
+    apply_differences,
     compare,
     read_stored,
-    wait_accepted,
-    write_differences,
+    wait_until_in_force,
 )
 from anvilshift.router.following import Follower
-from tests.router.nodes import LEASE, Nodes, VirtualTestCase, wait_until
+from tests.router.nodes import LEASE, InProcessFleet, VirtualTestCase, wait_until
 
 
 def make_budget(grant):
@@ -21,7 +21,7 @@
 
 class AcceptanceTest(VirtualTestCase):
     async def asyncSetUp(self):
-        self.fleet = Nodes()
+        self.fleet = InProcessFleet()
         await self.fleet.start("r1", "r2", "r3")
         await self.apply(make_budget(1))
 
@@ -31,13 +31,13 @@
     async def store(self, documents):
         store = self.fleet.platform
         differences = compare(documents, await read_stored(store), prune=True)
-        return await write_differences(store, documents, differences)
+        return await apply_differences(store, documents, differences)
 
     async def apply(self, documents, timeout=60_000.0):
         newest, lost = await self.store(documents)
         self.assertEqual(lost, [])
         clock = self.fleet.clock
-        return await wait_accepted(self.fleet.platform, clock, newest, timeout)
+        return await wait_until_in_force(self.fleet.platform, clock, newest, timeout)
 
     def grant(self, name):
         budget = self.fleet.nodes[name].access_control.catalogue.budgets.get("pounds")
@@ -57,7 +57,7 @@
         self.fleet.cut_from_platform("r3")
         self.fleet.cut_peers("r3")
         newest, _ = await self.store({})
-        acceptance = await wait_accepted(
+        acceptance = await wait_until_in_force(
             self.fleet.platform, self.fleet.clock, newest, 0.0
         )
         self.assertIn("r3", acceptance.waiting)
@@ -142,9 +142,9 @@
         stored = await read_stored(store)
         differences = compare(make_budget(5), stored, prune=False)
         await self.apply(make_budget(4))
-        _, lost = await write_differences(store, make_budget(5), differences)
+        _, lost = await apply_differences(store, make_budget(5), differences)
         self.assertEqual([item.name for item in lost], ["pounds"])
-        self.assertEqual(store.peek("Budget", "pounds")["grant"], 4)
+        self.assertEqual(store.read_ignoring_faults("Budget", "pounds")["grant"], 4)
 
     async def test_delete_in_a_watch_gap_is_detected(self):
         """A budget is deleted in an outage, and the platform discards its history.
@@ -167,7 +167,7 @@
         await store.put("Router", "r9", {"name": 5}, 0)
         newest, _ = await self.store(make_budget(2))
         await wait_until(lambda: {self.grant(n) for n in ("r1", "r2", "r3")} == {2})
-        acceptance = await wait_accepted(store, self.fleet.clock, newest, 5_000.0)
+        acceptance = await wait_until_in_force(store, self.fleet.clock, newest, 5_000.0)
         self.assertEqual(acceptance.waiting, ("r9",))
 
     async def test_unreadable_declaration_is_not_acknowledged(self):
@@ -177,7 +177,7 @@
         waiting.
         """
         newest, _ = await self.store(make_budget("many"))
-        acceptance = await wait_accepted(
+        acceptance = await wait_until_in_force(
             self.fleet.platform, self.fleet.clock, newest, LEASE
         )
         self.assertEqual(set(acceptance.waiting), {"r1", "r2", "r3"})
@@ -191,8 +191,12 @@
     def __init__(self):
         body = make_budget(2)["Budget", "pounds"]
         old = make_budget(1)["Budget", "pounds"]
-        new = Listing(9, (Stored("Budget", "pounds", 9, body),))
-        self.listings = [new, Listing(4, (Stored("Budget", "pounds", 4, old),)), new]
+        new = Listing(9, (StoredObject("Budget", "pounds", 9, body),))
+        self.listings = [
+            new,
+            Listing(4, (StoredObject("Budget", "pounds", 4, old),)),
+            new,
+        ]
 
     async def list(self, kinds):
         if not self.listings:
@@ -200,7 +204,7 @@
         return self.listings.pop(0)
 
     async def watch(self, kinds, after, wait):
-        return Changes(after, too_old=True)
+        return ChangeBatch(after, too_old=True)
 
 
 class StaleListingTest(unittest.IsolatedAsyncioTestCase):
@@ -222,7 +226,7 @@
         The router would go on serving under old declarations, because it still
         renews its lease.
         """
-        fleet = Nodes()
+        fleet = InProcessFleet()
         self.addAsyncCleanup(fleet.close)
         await fleet.start("r1", "r2")
         node = fleet.nodes["r1"]
--- a/tests/router/test_agreement.py
+++ b/tests/router/test_agreement.py
@@ -2,7 +2,7 @@
 
 from anvilshift.core.homes import choose_homes
 from anvilshift.core.work import LoadReport, Send, Work
-from tests.router.nodes import Nodes, VirtualTestCase, wait_until
+from tests.router.nodes import InProcessFleet, VirtualTestCase, wait_until
 
 OLD = ("e1", "e2", "e3", "e4")
 NEW = (*OLD, "e5")
@@ -45,7 +45,9 @@
 
 class AgreementTest(VirtualTestCase):
     async def asyncSetUp(self):
-        self.fleet = Nodes(engine=lambda engine, router: IdleEngine(engine.name))
+        self.fleet = InProcessFleet(
+            engine=lambda engine, router: IdleEngine(engine.name)
+        )
         self.addAsyncCleanup(self.fleet.close)
         await self.fleet.platform.put("EngineGroup", "models", make_group(OLD), 0)
         await self.fleet.start("r1", "r2", "r3")
--- a/tests/router/test_bad_input.py
+++ b/tests/router/test_bad_input.py
@@ -145,8 +145,8 @@
                 "pound"
             ]
             job = parse_chat_request(request, organisation, routes, 0.0)
-            self.assertEqual((job.answer_bound, job.body["max_tokens"]), (5, 5))
-            bounds.append(job.prompt_bound)
+            self.assertEqual((job.max_answer_tokens, job.body["max_tokens"]), (5, 5))
+            bounds.append(job.max_prompt_tokens)
         self.assertGreater(bounds[1] - bounds[0], 1_000)
 
     async def test_unknown_paths(self):
@@ -221,8 +221,8 @@
         except AnvilshiftError as error:
             self.assertEqual(error.code.fate.value, "not run")
             return
-        self.assertGreater(job.answer_bound, 0)
-        self.assertGreaterEqual(job.prompt_bound, 64)
+        self.assertGreater(job.max_answer_tokens, 0)
+        self.assertGreaterEqual(job.max_prompt_tokens, 64)
         self.assertLessEqual(job.deadline, 600_000.0)
 
     @settings(deadline=None, suppress_health_check=[HealthCheck.differing_executors])
--- a/tests/router/test_claimed.py
+++ b/tests/router/test_claimed.py
@@ -29,7 +29,7 @@
         return sum(self.fleet.service.ran.values())
 
     def read_claim(self, key: str) -> Claim | None:
-        body = self.store.peek(CLAIM_KIND, digest("pound", key))
+        body = self.store.read_ignoring_faults(CLAIM_KIND, digest("pound", key))
         return decode(Claim, body) if body else None
 
     async def test_order_whose_bill_fails_is_not_told_not_run(self):
--- a/tests/router/test_claims.py
+++ b/tests/router/test_claims.py
@@ -121,7 +121,9 @@
         await self.claims.record("i", first.void())
         await self.claims.acquire(make_job())
         await self.claims.record("i", first.void())
-        self.assertEqual(self.store.peek(CLAIM_KIND, "i")["state"], "open")
+        self.assertEqual(
+            self.store.read_ignoring_faults(CLAIM_KIND, "i")["state"], "open"
+        )
 
     async def test_sweep_passes_over_what_it_cannot_read(self):
         await self.store.put(CLAIM_KIND, "a", {"x": 1}, 0)
--- a/tests/router/test_crashes.py
+++ b/tests/router/test_crashes.py
@@ -6,12 +6,12 @@
 from anvilshift.core.permits import LOST_ROUTER_TIMEOUT
 from anvilshift.core.quarantine import CHARGE_LIFETIME
 from anvilshift.core.work import CrashAnnouncement
-from tests.router.nodes import HEARTBEAT, Nodes, VirtualTestCase, wait_until
+from tests.router.nodes import HEARTBEAT, InProcessFleet, VirtualTestCase, wait_until
 
 
 class CrashNewsTest(VirtualTestCase):
     async def asyncSetUp(self):
-        self.fleet = Nodes()
+        self.fleet = InProcessFleet()
         self.addAsyncCleanup(self.fleet.close)
         await self.fleet.start("r1", "r2", "r3")
         self.heard = []
--- a/tests/router/test_following.py
+++ b/tests/router/test_following.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from tests.router.nodes import Nodes, VirtualTestCase
+from tests.router.nodes import InProcessFleet, VirtualTestCase
 
 
 class WatchRateTest(VirtualTestCase):
@@ -13,7 +13,7 @@
         at once, the number of calls would grow with the square of the number of
         routers, which slowed the platform down for a fleet of twelve.
         """
-        fleet = Nodes()
+        fleet = InProcessFleet()
         self.addAsyncCleanup(fleet.close)
         names = [f"r{number}" for number in range(1, 13)]
         for name in names:
--- a/tests/router/test_orders.py
+++ b/tests/router/test_orders.py
@@ -5,7 +5,7 @@
 from anvilshift.core.clock import SECOND
 from anvilshift.core.errors import PLATFORM_DOWN, AnvilshiftError
 from anvilshift.core.orders import compute_takeover_wait
-from tests.router.nodes import LEASE, Nodes, VirtualTestCase, wait_until
+from tests.router.nodes import LEASE, InProcessFleet, VirtualTestCase, wait_until
 
 
 class Engine:
@@ -65,7 +65,9 @@
 
 class OrdersTest(VirtualTestCase):
     async def begin(self, checks_fencing):
-        self.fleet = Nodes(lambda engine, router: EngineOfRouter(self.engine, router))
+        self.fleet = InProcessFleet(
+            lambda engine, router: EngineOfRouter(self.engine, router)
+        )
         self.addAsyncCleanup(self.fleet.close)
         self.engine = Engine(self.fleet.clock, checks_fencing)
         self.checks = checks_fencing
--- a/tests/router/test_quarantined.py
+++ b/tests/router/test_quarantined.py
@@ -4,12 +4,12 @@
 from anvilshift.core.work import CrashAnnouncement
 from anvilshift.objects.records import encode
 from anvilshift.router.quarantined import QUARANTINE_KIND, QuarantineRecord
-from tests.router.nodes import Nodes, VirtualTestCase, wait_until
+from tests.router.nodes import InProcessFleet, VirtualTestCase, wait_until
 
 
 class QuarantineRecordsTest(VirtualTestCase):
     async def asyncSetUp(self):
-        self.fleet = Nodes()
+        self.fleet = InProcessFleet()
         self.addAsyncCleanup(self.fleet.close)
 
     def crash(self, name, *targets):
@@ -19,7 +19,10 @@
             node.dispatch.announce(CrashAnnouncement("poison", target))
 
     def is_stored(self):
-        return self.fleet.platform.peek(QUARANTINE_KIND, "poison") is not None
+        return (
+            self.fleet.platform.read_ignoring_faults(QUARANTINE_KIND, "poison")
+            is not None
+        )
 
     def is_known(self, name):
         dispatcher = self.fleet.nodes[name].dispatcher
--- a/tests/router/test_random_acceptance.py
+++ b/tests/router/test_random_acceptance.py
@@ -6,8 +6,8 @@
 
 from anvilshift.core.errors import AnvilshiftError
 from anvilshift.objects.store import update
-from anvilshift.operator.platformside import wait_accepted
-from tests.router.nodes import Nodes, VirtualTestCase
+from anvilshift.operator.administration import wait_until_in_force
+from tests.router.nodes import InProcessFleet, VirtualTestCase
 
 NAMES = ("r1", "r2", "r3", "r4", "r5")
 DURATION_S = 400
@@ -16,7 +16,7 @@
 class RandomRun:
     def __init__(self, seed):
         self.rng = random.Random(seed)
-        self.fleet = Nodes()
+        self.fleet = InProcessFleet()
         self.accepted = 0
         self.acceptances = 0
         self.checks = 0
@@ -67,7 +67,7 @@
             body = {"kind": "Budget", "name": "pounds", "grant": grant}
             try:
                 stored = await update(platform, "Budget", "pounds", lambda _, b=body: b)
-                acceptance = await wait_accepted(
+                acceptance = await wait_until_in_force(
                     platform, self.fleet.clock, stored.version, 10_000.0
                 )
             except AnvilshiftError:
--- a/tests/router/test_relayed.py
+++ b/tests/router/test_relayed.py
@@ -5,7 +5,7 @@
 
 from anvilshift.core.clock import ManualClock
 from anvilshift.core.errors import AnvilshiftError
-from anvilshift.objects.store import ConflictError, UncertainError, update
+from anvilshift.objects.store import ConflictError, UncertainWriteError, update
 from anvilshift.peers.link import PeerError
 from anvilshift.router.relayed import RelayedStore, call_store
 from anvilshift.standins.memory import MemoryStore
@@ -69,7 +69,7 @@
         it would either conflict with itself or be applied twice.
         """
         self.platform.faults.lose_answers = 1
-        with self.assertRaises(UncertainError):
+        with self.assertRaises(UncertainWriteError):
             await self.store.put("Ledger", "main", {"total": 10}, 0)
         self.assertEqual((self.platform.calls["put"], self.link.calls), (1, 0))
 
@@ -84,7 +84,7 @@
         def add(body):
             return {**(body or {}), "invoice-1": 10}
 
-        with self.assertRaises(UncertainError):
+        with self.assertRaises(UncertainWriteError):
             await self.store.put("Ledger", "main", add(None), 0)
         stored = await update(self.store, "Ledger", "main", add)
         self.assertEqual(stored.body, {"invoice-1": 10})
--- a/tests/router/test_returning.py
+++ b/tests/router/test_returning.py
@@ -6,7 +6,7 @@
 from anvilshift.core.work import Failure, LoadReport, Send, Work
 from anvilshift.engines.http import TargetError
 from anvilshift.standins.virtual import run_virtual
-from tests.router.nodes import Nodes, wait_until
+from tests.router.nodes import InProcessFleet, wait_until
 
 ENGINES = [
     {"name": name, "address": "127.0.0.1:1", "failure_domain": "north", "slots": slots}
@@ -44,7 +44,9 @@
 
     async def return_with_a_limit(self):
         down = {"e1"}
-        nodes = Nodes(engine=lambda engine, router: StubEngine(engine.name, down))
+        nodes = InProcessFleet(
+            engine=lambda engine, router: StubEngine(engine.name, down)
+        )
         await nodes.platform.put("EngineGroup", "models", GROUP, 0)
         await nodes.start("r1")
         node = nodes.nodes["r1"]
--- a/tests/router/test_runs.py
+++ b/tests/router/test_runs.py
@@ -9,11 +9,11 @@
 
 from anvilshift.client.client import Conversation
 from anvilshift.core.errors import BUDGET_UNREACHABLE, AnvilshiftError
-from anvilshift.engines.engine import Piece, Usage
+from anvilshift.engines.engine import AnswerPart, Usage
 from anvilshift.router import registry, runs
 from anvilshift.standins.engine import make_answer
 from anvilshift.wire.events import EventReader
-from anvilshift.wire.messages import HttpAnswer
+from anvilshift.wire.messages import HttpResponse
 from anvilshift.wire.server import Responder
 from bench.fleet import wait_until
 from tests.router.fleetlet import Fleetlet, make_chat, read_code
@@ -21,7 +21,7 @@
 KEY = ("idempotency-key", "k")
 
 
-def read_events(answer: HttpAnswer) -> tuple[str, list[str], bool]:
+def read_events(answer: HttpResponse) -> tuple[str, list[str], bool]:
     """Return a stream's text, the ids of its events, and whether it ended."""
     events = EventReader().feed(answer.body)
     parts = [json.loads(e.data) for e in events if e.data != "[DONE]"]
@@ -94,7 +94,11 @@
 
         Guards against offsets in bytes, which would resume at a wrong character.
         """
-        pieces = [Piece("ták é🦞 "), Piece("dobrý"), Piece("", 0, "stop", Usage(5, 2))]
+        pieces = [
+            AnswerPart("ták é🦞 "),
+            AnswerPart("dobrý"),
+            AnswerPart("", 0, "stop", Usage(5, 2)),
+        ]
         with self.replace_pieces(pieces[:1], pieces[1:]):
             text, ids, _ = read_events(await self.stream(KEY))
         self.assertEqual(text, "ták é🦞 dobrý")
@@ -109,7 +113,7 @@
         the other.  Guards against resuming by offset alone, which would join parts
         of two answers.
         """
-        with self.replace_pieces([Piece("all tanks are well")]):
+        with self.replace_pieces([AnswerPart("all tanks are well")]):
             await self.stream(KEY, router=1)
         received = {"anvilshift": {"received": "two tanks"}}
         answer = await self.stream(KEY, extra=received, router=1)
@@ -271,12 +275,12 @@
             (Usage(10**9, 10**9), bound + 8),
         ):
             before = self.fleet.spent
-            with self.replace_pieces([Piece("ok", 1, "stop", usage)]):
+            with self.replace_pieces([AnswerPart("ok", 1, "stop", usage)]):
                 self.assertEqual((await self.fleet.chat("tank")).status, 200)
             self.assertEqual(self.fleet.spent - before, billed)
 
     async def test_answer_is_cut_off_at_the_reserved_tokens(self):
-        pieces = [Piece(f"{n} ") for n in range(50)]
+        pieces = [AnswerPart(f"{n} ") for n in range(50)]
         with self.replace_pieces(pieces):
             text, _, ended = read_events(await self.stream(tokens=3))
         self.assertEqual((text, ended), ("0 1 2 ", True))
--- a/tests/router/test_treasury.py
+++ b/tests/router/test_treasury.py
@@ -58,7 +58,9 @@
 
     @property
     def account(self):
-        ledger = decode(Ledger, self.store.peek(LEDGER_KIND, LEDGER_NAME) or {})
+        ledger = decode(
+            Ledger, self.store.read_ignoring_faults(LEDGER_KIND, LEDGER_NAME) or {}
+        )
         return ledger.account("pounds")
 
 
--- a/tests/standins/test_memory.py
+++ b/tests/standins/test_memory.py
@@ -4,7 +4,7 @@
 import unittest
 
 from anvilshift.core.errors import PLATFORM_DOWN, AnvilshiftError
-from anvilshift.objects.store import ConflictError, UncertainError, update
+from anvilshift.objects.store import ConflictError, UncertainWriteError, update
 from anvilshift.standins.memory import MemoryStore
 
 
@@ -22,12 +22,12 @@
 
     async def test_lost_answer_took_effect_and_lost_write_did_not(self):
         self.store.faults.lose_answers = 1
-        with self.assertRaises(UncertainError):
+        with self.assertRaises(UncertainWriteError):
             await self.store.put("Note", "a", {"n": 1}, 0)
-        self.assertEqual(self.store.peek("Note", "a"), {"n": 1})
+        self.assertEqual(self.store.read_ignoring_faults("Note", "a"), {"n": 1})
         self.store.faults.lose_writes = 1
         await update(self.store, "Note", "b", lambda _: {"n": 2})
-        self.assertEqual(self.store.peek("Note", "b"), {"n": 2})
+        self.assertEqual(self.store.read_ignoring_faults("Note", "b"), {"n": 2})
 
     async def test_cut_affects_only_one_caller(self):
         self.store.faults.cut = {"r1"}
@@ -48,4 +48,4 @@
         body = {"list": [1]}
         await self.store.put("Note", "a", body, 0)
         body["list"].append(2)
-        self.assertEqual(self.store.peek("Note", "a"), {"list": [1]})
+        self.assertEqual(self.store.read_ignoring_faults("Note", "a"), {"list": [1]})
