--- a/anvilshift/core/addressing.py
+++ b/anvilshift/core/addressing.py
@@ -28,10 +28,10 @@
     leaving: bool = False
 
 
-def order_entrances(
-    entrances: Iterable[Endpoint], failure_domain: str, rng: random.Random
+def order_endpoints(
+    endpoints: Iterable[Endpoint], failure_domain: str, rng: random.Random
 ) -> list[Endpoint]:
-    """Return the entrances in the order in which a caller should try them.
+    """Return the endpoints in the order in which a caller should try them.
 
     Parameters
     ----------
@@ -42,15 +42,15 @@
     --------
     >>> near, far = Endpoint("a", "north", 50), Endpoint("b", "south")
     >>> gone = Endpoint("c", "north", leaving=True)
-    >>> order = order_entrances([far, gone, near], "north", random.Random(0))
-    >>> [entrance.address for entrance in order]
+    >>> order = order_endpoints([far, gone, near], "north", random.Random(0))
+    >>> [endpoint.address for endpoint in order]
     ['a', 'b']
     """
 
-    def key(entrance: Endpoint) -> tuple[bool, float]:
+    def key(endpoint: Endpoint) -> tuple[bool, float]:
         # Of several exponential variates, each is the smallest with a probability
         # proportional to the inverse of its mean.
-        mean = _IDLE_LOAD + entrance.in_flight
-        return entrance.failure_domain != failure_domain, rng.expovariate(1 / mean)
+        mean = _IDLE_LOAD + endpoint.in_flight
+        return endpoint.failure_domain != failure_domain, rng.expovariate(1 / mean)
 
-    return sorted((e for e in entrances if not e.leaving), key=key)
+    return sorted((e for e in endpoints if not e.leaving), key=key)
--- a/anvilshift/core/allocators.py
+++ b/anvilshift/core/allocators.py
@@ -5,15 +5,16 @@
 of its own, a prompt of 40,000 tokens would find only a thirtieth of the remaining
 tokens at its router, and every router would write its share and its use to the store.
 
-Therefore two routers, the keepers, hold nearly all tokens that may be spent without the
-store, and the other routers request tokens from them in a round trip of milliseconds.
-There are two because one may be killed; the tokens of the other stay available.
+Therefore two routers, the allocators, hold nearly all tokens that may be spent without
+the store, and the other routers request tokens from them in a round trip of
+milliseconds.  There are two because one may be killed; the tokens of the other stay
+available.
 """
 
 import hashlib
 from collections.abc import Collection
 
-KEEPERS = 2
+ALLOCATORS = 2
 """Number of routers that keep one organisation's tokens."""
 _CANDIDATE_COUNT = 4
 """Number of routers that keep tokens of any organisation.  Each writes its shares of
@@ -23,8 +24,8 @@
 def list_allocators(organisation: str, routers: Collection[str]) -> tuple[str, ...]:
     """Return the routers that keep an organisation's tokens, in order of rank.
 
-    With rendezvous hashing, when a router leaves or joins, the keepers change only for
-    organisations kept, before or after, by it or by the candidate exchanged for it.
+    With rendezvous hashing, when a router leaves or joins, the allocators change only
+    for organisations kept, before or after, by it or by the candidate exchanged for it.
 
     Examples
     --------
@@ -36,7 +37,7 @@
     True
     """
     candidates = rank_routers("", routers)[:_CANDIDATE_COUNT]
-    return tuple(rank_routers(organisation, candidates)[:KEEPERS])
+    return tuple(rank_routers(organisation, candidates)[:ALLOCATORS])
 
 
 def rank_routers(key: str, routers: Collection[str]) -> list[str]:
@@ -49,7 +50,7 @@
 
 
 class AllocatorMap:
-    """The keepers of each organisation's tokens among the live routers.
+    """The allocators of each organisation's tokens among the live routers.
 
     Parameters
     ----------
@@ -81,22 +82,22 @@
         return True
 
     def list_allocators(self, organisation: str) -> tuple[str, ...]:
-        """Return the keepers of an organisation's tokens, in order of rank."""
+        """Return the allocators of an organisation's tokens, in order of rank."""
         if organisation not in self._cache:
             self._cache[organisation] = list_allocators(organisation, self.routers)
         return self._cache[organisation]
 
     def is_allocator(self, organisation: str) -> bool:
-        """Tell whether this router is a keeper of an organisation's tokens."""
+        """Tell whether this router is an allocator of an organisation's tokens."""
         return self.own in self.list_allocators(organisation)
 
     def find_rank(self, organisation: str) -> int | None:
-        """Return this router's rank among the keepers, from 0; None if not a keeper."""
+        """Return this router's rank among the allocators, from 0; None if none."""
         allocators = self.list_allocators(organisation)
         return allocators.index(self.own) if self.own in allocators else None
 
     def list_others(self, organisation: str) -> tuple[str, ...]:
-        """Return the keepers other than this router, in order of rank."""
+        """Return the allocators other than this router, in order of rank."""
         allocators = self.list_allocators(organisation)
         return tuple(one for one in allocators if one != self.own)
 
--- a/anvilshift/core/balances.py
+++ b/anvilshift/core/balances.py
@@ -6,9 +6,10 @@
 would leave tokens allotted to it that no router can spend.
 
 A request reserves the maximum that it can cost and settles the tokens it used.  Two
-routers, the keepers, hold an organisation's tokens and transfer them to the other
-routers for each request.  The amount that a keeper may spend beyond its record of use
-follows the rate of use, so that killing a keeper makes few of its tokens unusable.
+routers, the allocators, hold an organisation's tokens and transfer them to the other
+routers for each request.  The amount that an allocator may spend beyond its record of
+use follows the rate of use, so that killing an allocator makes few of its tokens
+unusable.
 """
 
 from collections.abc import Mapping
@@ -23,8 +24,8 @@
 """How long the free tokens that a write returned count as known.  Totals change over
 seconds, and finding out the free tokens costs a billed write."""
 _SELF_DRAW_SPAN: Millis = 1 * SECOND
-"""How long the router draws tokens itself after no keeper answered: about the time for
-which a lost keeper is still listed as present."""
+"""How long the router draws tokens itself after no allocator answered: about the time
+for which a lost allocator is still listed as present."""
 
 
 class Balances:
@@ -109,7 +110,7 @@
         )
 
     def record_missing_allocator(self, name: str, now: Millis) -> None:
-        """Record that no keeper of an organisation's tokens answered."""
+        """Record that no allocator of an organisation's tokens answered."""
         self.balances[name].self_draw_until = now + _SELF_DRAW_SPAN
 
     def make_share_requests(self, now: Millis) -> dict[str, ShareRequest]:
@@ -153,7 +154,7 @@
             balance.provable = provable
 
     def set_allocators(self, allocators: AllocatorMap) -> None:
-        """Update which routers are the keepers of each organisation's tokens."""
+        """Update which routers are the allocators of each organisation's tokens."""
         for name, balance in self.balances.items():
             balance.rank = allocators.find_rank(name)
             balance.allocators = len(allocators.list_allocators(name))
@@ -213,7 +214,7 @@
     def find_returnable(self, now: Millis) -> dict[str, int]:
         """Return the idle tokens by organisation.
 
-        Only organisations for which this router is not a keeper are listed.
+        Only organisations for which this router is not an allocator are listed.
         """
         idle = {name: p.find_returnable(now) for name, p in self.balances.items()}
         return {name: tokens for name, tokens in idle.items() if tokens > 0}
--- a/anvilshift/core/cushions.py
+++ b/anvilshift/core/cushions.py
@@ -1,7 +1,7 @@
 """One router's balance of one organisation's tokens, and how much it may spend.
 
 The load pattern is described in `balances`.  This module defines the sizes: how many
-tokens keepers hold, how many of those they may spend before their next use record,
+tokens allocators hold, how many of those they may spend before their next use record,
 and when a router returns tokens.
 """
 
@@ -21,10 +21,10 @@
 remains, whichever is smaller.  Below this limit it is at least the third value times
 the total.  A cushion counts as spent in full when its router is killed."""
 _KEPT_FRACTIONS = (0.55, 0.3)
-"""Fractions of the remaining tokens that the first and the second keeper hold while a
-successor can prove how little was spent.  While the store is unreachable, nothing else
-can be spent.  The rest stays free in the store, for when a keeper is down for seconds
-and its tokens are out of reach."""
+"""Fractions of the remaining tokens that the first and the second allocator hold while
+a successor can prove how little was spent.  While the store is unreachable, nothing
+else can be spent.  The rest stays free in the store, for when an allocator is down for
+seconds and its tokens are out of reach."""
 _INITIAL_FRACTION = 0.002
 """Fraction of a total that a router requests before it knows how much remains and how
 many routers share it.  A router that drew its whole cushion at that point, believing
@@ -33,8 +33,8 @@
 """Fraction of the cushion below which a router draws more tokens.  It is below 1
 because each draw is a billed write to the store."""
 _AT_ONCE_FRACTIONS = (0.06, 0.015)
-"""Fractions of the remaining tokens that the first and the second keeper may spend at
-any time.  No proof bounds this spending, so the tokens are lost if all routers fail.
+"""Fractions of the remaining tokens that the first and the second allocator may spend
+at any time.  No proof bounds this spending, so the tokens are lost if all routers fail.
 They are needed for the first prompts of a store outage, before elapsed time has
 released any other tokens."""
 _OUTAGE_USE: Millis = 10 * SECOND
@@ -48,14 +48,14 @@
 enough above the refill threshold that fluctuating traffic doesn't cause alternate draws
 and returns."""
 _MAX_DATAGRAM_FRACTION = 0.01
-"""Largest fraction of a total that is returned to a keeper by datagram, which may be
-lost.  Larger amounts are returned through the store."""
+"""Largest fraction of a total that is returned to an allocator by datagram, which may
+be lost.  Larger amounts are returned through the store."""
 _RATE_TIME_CONSTANT: Millis = 6 * SECOND
 """Time constant of the rate's exponential average: longer than the gap between two
 large prompts, shorter than an organisation's burst."""
 _IDLE_TIME: Millis = 1 * SECOND
-"""Time without a reservation after which leftover tokens are returned to a keeper.  A
-request of the same organisation within this time can use them immediately."""
+"""Time without a reservation after which leftover tokens are returned to an allocator.
+A request of the same organisation within this time can use them immediately."""
 
 
 @dataclass(frozen=True)
@@ -85,7 +85,7 @@
     allocators
         Number of routers that keep the organisation's tokens.
     rank
-        This router's position among these keepers, from 0; None if it is not one.
+        This router's position among these allocators, from 0; None if it is not one.
     left
         Remaining tokens of the total across all routers, as of the last write to
         the store; None before the first write.
@@ -117,7 +117,7 @@
     last_reserved_at
         When a request last reserved tokens.
     self_draw_until
-        Until when this router draws from the store although it is not a keeper.
+        Until when this router draws from the store although it is not an allocator.
     """
 
     total: int = 0
@@ -146,7 +146,7 @@
 
     @property
     def keeping(self) -> bool:
-        """Tell whether this router is a keeper of the organisation's tokens."""
+        """Tell whether this router is an allocator of the organisation's tokens."""
         return self.rank is not None
 
     @property
@@ -182,9 +182,9 @@
         recorded = needed if needed <= self.ceiling else self.spent
         beyond = max(0, self.ceiling - recorded)
         if self.rank is None:
-            # A router that is not a keeper spends what keepers gave it for single
-            # requests.  If its spending were limited over time, it would ask for the
-            # next request's tokens while those left from the last one are unused.
+            # A router that is not an allocator spends what allocators gave it for
+            # single requests.  If its spending were limited over time, it would ask for
+            # the next request's tokens while those left from the last one are unused.
             return Use(recorded, beyond, beyond)
         rate = self.compute_rate(now)
         extra = max(int(rate * _OUTAGE_USE), int(self.total * _MIN_OUTAGE_USE))
@@ -269,11 +269,11 @@
         return now < self.free_until and self.free < max(1, least)
 
     def draws(self, now: Millis) -> bool:
-        """Tell whether this router draws from the store, as a keeper or without one."""
+        """Tell whether it draws from the store, as an allocator or without one."""
         return self.keeping or now < self.self_draw_until
 
     def find_returnable(self, now: Millis) -> int:
-        """Return the unused tokens that a router other than a keeper should return."""
+        """Return the unused tokens that a router which is no allocator returns."""
         idle = (
             not self.reserved
             and not self.waiting
--- a/anvilshift/core/dispatcher.py
+++ b/anvilshift/core/dispatcher.py
@@ -76,7 +76,7 @@
         self._relocation = Relocation(
             self._state, self._backlog, self._restriction, self._enqueue
         )
-        self._resending = Retrier(
+        self._retrier = Retrier(
             self._state,
             self._backlog,
             self._sender,
@@ -90,7 +90,7 @@
             self._restriction,
             self._relocation,
         )
-        self._rationing = TargetLimits(self._state, self._sender)
+        self._target_limits = TargetLimits(self._state, self._sender)
         self._last_sweep: Millis = 0.0
         self._was_alone = self._state.is_single_router
         self.renew: Callable[[Work], Work] = lambda work: work
@@ -222,7 +222,7 @@
         """Record only the rate limit in a target's load report; send nothing."""
         view = self._state.views.get(report.target)
         if view is not None:
-            self._rationing.learn(view, report.limit, report.as_of)
+            self._target_limits.learn(view, report.limit, report.as_of)
 
     def load_report(self, report: LoadReport, now: Millis) -> Actions:
         """Update a target's load from its report, which describes an earlier time."""
@@ -234,9 +234,9 @@
                 now + STALE_AFTER, lambda at: self._check_reports(view, at)
             )
         view.limit.report(report, now)
-        self._rationing.learn(view, report.limit, report.as_of)
+        self._target_limits.learn(view, report.limit, report.as_of)
         self._state.refresh(view, draw=True)
-        return [*self._rationing.remove_expired(now), *self._sender.fill(view, now)]
+        return [*self._target_limits.remove_expired(now), *self._sender.fill(view, now)]
 
     def find_view(self, target: str) -> TargetView | None:
         """Return this router's view of a target, or None if it is not declared."""
@@ -244,11 +244,11 @@
 
     def list_permit_needs(self) -> list[PermitNeed]:
         """Return the targets whose waiting work lacks only a permit."""
-        return self._rationing.list_permit_needs()
+        return self._target_limits.list_permit_needs()
 
     def use_permit(self, target: str, run: str, now: Millis) -> Actions:
         """Use a permit to send one request to a rate-limited target."""
-        return self._rationing.use_permit(target, run, now)
+        return self._target_limits.use_permit(target, run, now)
 
     def _check_reports(self, view: TargetView, now: Millis) -> Actions:
         """Stop using a target's reported load once its reports have stopped."""
@@ -330,7 +330,7 @@
         Work that was already attempted is sent again under the retry policy.
         """
         if entry.attempts:
-            return self._resending.requeue(entry, now)
+            return self._retrier.requeue(entry, now)
         actions = self._backlog.admit(entry, now)
         if not entry.waits:
             return actions
@@ -402,7 +402,7 @@
             view.health.add_failure(content or identity)
         self._state.refresh(view)
         actions += self._health_monitor.check_health(view, now)
-        actions += self._resending.retry(entry, failure, now)
+        actions += self._retrier.retry(entry, failure, now)
         return [*actions, *self._sender.fill(view, now)]
 
     def cancel(self, identity: str, now: Millis) -> Actions:
@@ -421,7 +421,10 @@
 
     def tick(self, now: Millis) -> Actions:
         """Run the timers that are due and, at intervals, retry skipped work."""
-        actions = [*self._state.timers.run(now), *self._rationing.remove_expired(now)]
+        actions = [
+            *self._state.timers.run(now),
+            *self._target_limits.remove_expired(now),
+        ]
         if self._state.is_single_router != self._was_alone:
             # A router that is alone may send a content to any target; one of
             # several only to the two home targets of the content.
--- a/anvilshift/core/holderaccounts.py
+++ b/anvilshift/core/holderaccounts.py
@@ -1,6 +1,6 @@
 """Local accounting of a holder's grants: reserve, bill, refill and return tokens.
 
-The escrow serves the request path without a call to the platform.  A request
+A holder's accounts serve the request path without a call to the platform.  A request
 reserves the maximum that it can cost; when it ends, its bill is pending until it is
 recorded, and the unused part of the reservation is available at once.
 """
@@ -194,7 +194,7 @@
                 )
 
     def succeed(self, holder: str) -> "HolderAccounts":
-        """Return the escrow of the holder that replaces this sealed one.
+        """Return the accounts of the holder that replaces this sealed one.
 
         Requests in flight continue: their reservations and their unreleased bills
         are carried over.  Another router may hold the tokens for them by now, so
--- a/anvilshift/core/membership.py
+++ b/anvilshift/core/membership.py
@@ -119,7 +119,7 @@
     member_statuses: Mapping[str, MemberStatus] = field(default_factory=dict)
 
     def record_renewal(self, member: Member, now: Millis) -> "MemberTable":
-        """Return the roster updated with a member's new platform record."""
+        """Return the member table updated with a member's new platform record."""
         old = self.member_statuses.get(member.name)
         if old is not None and old.member == member:
             return self
@@ -136,14 +136,14 @@
     def record_heartbeat(
         self, member: Member, heartbeat_status: HeartbeatStatus, now: Millis
     ) -> "MemberTable":
-        """Return the roster updated with a member's heartbeat."""
+        """Return the member table updated with a member's heartbeat."""
         status = MemberStatus(member, now, heartbeat_status, last_heartbeat=now)
         return replace(
             self, member_statuses={**self.member_statuses, member.name: status}
         )
 
     def remove(self, name: str) -> "MemberTable":
-        """Return the roster without a member."""
+        """Return the member table without a member."""
         remaining = {k: v for k, v in self.member_statuses.items() if k != name}
         return replace(self, member_statuses=remaining)
 
--- a/anvilshift/core/tokensearch.py
+++ b/anvilshift/core/tokensearch.py
@@ -1,9 +1,9 @@
-"""Which keeper a request that lacks tokens asks next, and when it stops waiting.
+"""Which allocator a request that lacks tokens asks next, and when it stops waiting.
 
 Load pattern: a burst of prompts reaches a router that keeps no tokens of their
-organisation, while one of the two keepers has just been killed, or all tokens that may
-be spent now are spent.  Asking the keepers one after another without delay costs one
-round trip each.  With a fixed waiting time instead, a request would be refused or
+organisation, while one of the two allocators has just been killed, or all tokens that
+may be spent now are spent.  Asking the allocators one after another without delay costs
+one round trip each.  With a fixed waiting time instead, a request would be refused or
 served late.
 """
 
@@ -13,10 +13,10 @@
 from anvilshift.core.clock import Millis
 
 ANSWER_TIMEOUT: Millis = 60.0
-"""Time limit for a keeper's answer, after which the datagram counts as lost.  An answer
-takes 4 ms, plus at times a write to the store."""
+"""Time limit for an allocator's answer, after which the datagram counts as lost.  An
+answer takes 4 ms, plus at times a write to the store."""
 _MAX_TRIES = 2
-"""Number of times that a keeper is asked before the next keeper is asked."""
+"""Number of times that an allocator is asked before the next allocator is asked."""
 _SUFFICIENT_WRITES = 2
 """Number of completed writes after which at least one was prepared with the request
 included.  The first may have been in progress when the request began to wait."""
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """A keeper's answer when it can't provide the tokens.
+    """An allocator's answer when it can't provide the tokens.
 
     Parameters
     ----------
     certain
         Whether the total certainly can't cover the request.
     wait
-        Time until the keeper may have the tokens.
+        Time until the allocator may have the tokens.
     """
 
     certain: bool
@@ -40,17 +40,17 @@
 
 @dataclass
 class TokenSearch:
-    """One request's search for tokens among the keepers of its organisation.
+    """One request's search for tokens among the allocators of its organisation.
 
     Parameters
     ----------
     allocators
-        The keepers to ask, in this order.
+        The allocators to ask, in this order.
     draws, records
         Numbers of draws from the store and of use records that this router had
         completed when the request began to wait.
     answers
-        The answers received so far from keepers that lack the tokens.
+        The answers received so far from allocators that lack the tokens.
 
     Examples
     --------
@@ -71,7 +71,7 @@
     _next_due: Millis = 0.0
 
     def find_next(self, now: Millis) -> str | None:
-        """Return the keeper to ask now, if any, and count it as asked."""
+        """Return the allocator to ask now, if any, and count it as asked."""
         if now < self._next_due or self._index >= len(self.allocators):
             return None
         if self._tries == _MAX_TRIES:
@@ -82,12 +82,12 @@
         return self.allocators[self._index]
 
     def note(self, answer: Answer) -> None:
-        """Record that the keeper asked last lacks the tokens; go on to the next."""
+        """Record that the allocator asked last lacks the tokens; go on to the next."""
         self.answers.append(answer)
         self.skip()
 
     def skip(self) -> None:
-        """Go on to the next keeper, since the current one is unreachable."""
+        """Go on to the next allocator, since the current one is unreachable."""
         self._advance()
         self._next_due = 0.0
 
@@ -96,14 +96,14 @@
         self._tries = 0
 
     def is_over(self, now: Millis) -> bool:
-        """Tell whether every keeper has answered, timed out or been skipped."""
+        """Tell whether every allocator has answered, timed out or been skipped."""
         if self._index < len(self.allocators) - 1:
             return False
         is_last = self._index == len(self.allocators) - 1
         return not is_last or (self._tries == _MAX_TRIES and now >= self._next_due)
 
     def is_unanswered(self, now: Millis) -> bool:
-        """Tell whether the search is over without an answer from any keeper."""
+        """Tell whether the search is over without an answer from any allocator."""
         return self.is_over(now) and not self.answers
 
     def has_drawn(self, draws: int) -> bool:
@@ -118,10 +118,10 @@
         return records >= self.records + _SUFFICIENT_WRITES
 
     def is_certain(self) -> bool:
-        """Tell whether every keeper said that the total can't cover the request."""
+        """Tell whether every allocator said that the total can't cover the request."""
         certain = [answer.certain for answer in self.answers]
         return len(certain) >= len(self.allocators) > 0 and all(certain)
 
     def find_wait(self) -> Millis | None:
-        """Return the shortest wait that a keeper stated; None without an answer."""
+        """Return the shortest wait that an allocator stated; None without an answer."""
         return min((answer.wait for answer in self.answers), default=None)
--- a/anvilshift/gateway/conversation.py
+++ b/anvilshift/gateway/conversation.py
@@ -89,7 +89,7 @@
     # Tokens
 
     def update_routers(self) -> None:
-        """Update the set of present routers, and with it the keepers of tokens."""
+        """Update the set of present routers, and with it the allocators of tokens."""
         peers = self.peers.list_present()
         names = {one.beat.router for one in peers if not one.beat.leaving}
         if not self.is_leaving():
@@ -106,12 +106,12 @@
     def ask_for_tokens(
         self, allocator: str, number: int, organisation: str, tokens: int
     ) -> bool:
-        """Ask a keeper for tokens.
+        """Ask an allocator for tokens.
 
         Returns
         -------
         bool
-            Whether the request was sent; False if the keeper is not present.
+            Whether the request was sent; False if the allocator is not present.
         """
         peer = self.peers.routers.get(allocator)
         if peer is None:
@@ -123,12 +123,12 @@
         return True
 
     def return_unused_tokens(self) -> None:
-        """Return the unused tokens of this router to the keepers."""
+        """Return the unused tokens of this router to the allocators."""
         for gift, ip in self.reservations.return_idle(self._find_allocator):
             self.peers.send(gift, ip)
 
     def _find_allocator(self, organisation: str) -> tuple[str, str] | None:
-        """Return the incarnation and address of a keeper that is present."""
+        """Return the incarnation and address of an allocator that is present."""
         for name in self.allocators.list_others(organisation):
             peer = self.peers.routers.get(name)
             if peer is not None:
--- a/anvilshift/gateway/messages.py
+++ b/anvilshift/gateway/messages.py
@@ -124,7 +124,7 @@
         Identifies the ask among those of the holder, so that copies are answered
         once.
     keeping
-        Whether the asking router is itself a keeper of these tokens.  Then it gets
+        Whether the asking router is itself an allocator of these tokens.  Then it gets
         only tokens that are ready: none are drawn or asked of others for it.
     """
 
@@ -157,7 +157,7 @@
 
 @dataclass(frozen=True)
 class Lack:
-    """A keeper can't provide the tokens of an ask.
+    """An allocator can't provide the tokens of an ask.
 
     Parameters
     ----------
@@ -166,7 +166,7 @@
     certain
         Whether the organisation's total is known to be too small.
     wait
-        Estimated time until the keeper may have the tokens.
+        Estimated time until the allocator may have the tokens.
     """
 
     holder: str
--- a/anvilshift/gateway/recording.py
+++ b/anvilshift/gateway/recording.py
@@ -73,7 +73,7 @@
     boot
         Boot id of the host; empty where the kernel offers none.
     on_new_mark
-        Sends a mark to the other routers, for the next keeper of the tokens.
+        Sends a mark to the other routers, for the next allocator of the tokens.
     records
         Number of completed writes, successful or failed; `end_record` is called
         after each.
--- a/anvilshift/gateway/reserving.py
+++ b/anvilshift/gateway/reserving.py
@@ -1,6 +1,6 @@
-"""Reserve tokens for requests from this router, from a keeper or from the store.
+"""Reserve tokens for requests from this router, from an allocator or from the store.
 
-A keeper is a router that holds tokens of an organisation for all routers.
+An allocator is a router that holds tokens of an organisation for all routers.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 that, so waiting is faster for the caller."""
 _MAX_LEND_WAIT: Millis = 250.0
 """Maximum time that another router's request waits here.  After that the router may
-ask the other keeper."""
+ask the other allocator."""
 _RETRY_DELAY: Millis = 4 * SECOND
 """Default retry delay for callers.  A store becomes reachable again, or a total is
 topped up, within seconds; a caller that retries sooner is refused again."""
@@ -166,10 +166,10 @@
         raise self._refuse(name, key, tokens, search)
 
     async def _wait_for_allocator(self, until: Millis, search: TokenSearch) -> bool:
-        """Wait until a keeper may have the tokens; False if the deadline is sooner."""
+        """Wait until an allocator may have the tokens; False if that is too late."""
         wait = search.find_wait()
         if wait is None and self.allotter.has_just_started():
-            # The keepers may have started with this router and may be waiting too.
+            # The allocators may have started with this router and may be waiting too.
             wait = _RETRY_DELAY_AT_START
         if wait is None or self.clock.now() + wait >= until:
             return False
@@ -190,7 +190,7 @@
         self.allotter.wake()
 
     def _has_failed(self, name: str, tokens: int, search: TokenSearch) -> bool:
-        """Tell whether no keeper, no record and no draw can provide the tokens."""
+        """Tell whether no allocator, no record and no draw can provide the tokens."""
         now, balance = self.clock.now(), self.balances.balances[name]
         if not search.is_over(now):
             return False
@@ -292,10 +292,11 @@
         now = self.clock.now()
         if not self.balances.reserve(name, key, ask.tokens, now):
             if ask.keeping:
-                # Another keeper asks as a last resort and draws for itself meanwhile.
+                # Another allocator asks as a last resort and draws for itself
+                # meanwhile.
                 self.balances.cancel_waiting(name, key)
                 return Lack(ask.holder, ask.number, name, False, _RETRY_DELAY)
-            # The asking router asks the other keeper itself.
+            # The asking router asks the other allocator itself.
             search = self._begin_search(())
             try:
                 await self._wait(name, key, ask.tokens, now + _MAX_LEND_WAIT, search)
@@ -318,7 +319,7 @@
         Parameters
         ----------
         find_allocator
-            Returns the incarnation and the address of a keeper of an
+            Returns the incarnation and the address of an allocator of an
             organisation's tokens; None if there is none.
         """
         gifts = []
@@ -341,7 +342,7 @@
             self.allotter.notify_waiters()
 
     def apply_lack(self, lack: Lack) -> None:
-        """Record that a keeper can't provide what was asked for."""
+        """Record that an allocator can't provide what was asked for."""
         search = self._searches.get(lack.number)
         if search is not None and lack.holder == self.allotter.holder:
             search.note(Answer(lack.certain, lack.wait))
--- a/anvilshift/gateway/shares.py
+++ b/anvilshift/gateway/shares.py
@@ -1,7 +1,7 @@
 """Maintain this router's shares of the prepaid totals in the platform's store.
 
 One object holds the allotments of all organisations and changes only by
-conditional updates.  Requests spend from the wallet without a call to the store;
+conditional updates.  Requests spend from the balances without a call to the store;
 this module draws tokens and returns unused ones in the background.
 """
 
@@ -40,12 +40,12 @@
 _DISCOVERY_DELAY: Millis = 120.0
 """Delay of the first write after the start and after the latest discovery of another
 router.  Routers that start together discover one another one by one: a router that
-wrote earlier would consider itself a keeper of tokens, and its write would conflict
+wrote earlier would consider itself an allocator of tokens, and its write would conflict
 with those of all others."""
 _MAX_FIRST_WRITE_DELAY: Millis = 600.0
 """Maximum delay of the first write after the start, also used while no other router
 is heard.  A router that writes before it knows the others draws tokens that the
-keepers then have to get back."""
+allocators then have to get back."""
 _START_PERIOD: Millis = 1.5 * SECOND
 """How long after the start other routers may be starting as well.  They end the
 shares of their former incarnations, so the number of free tokens grows within tenths
--- a/anvilshift/peers/link.py
+++ b/anvilshift/peers/link.py
@@ -84,7 +84,7 @@
         """Make a call of the platform for another router."""
 
     async def handle_permit(self, request: PermitRequest) -> PermitReply:
-        """Issue a permit for a target that has named a limit."""
+        """Issue a permit for a target that has announced a limit."""
 
     async def handle_relocate(self, request: RelocateRequest) -> RelocateReply:
         """Take part in sending a content elsewhere than to its homes."""
--- a/anvilshift/platform/entrance.py
+++ b/anvilshift/platform/entrance.py
@@ -23,7 +23,7 @@
         list_endpoints: Callable[[str], Endpoints],
     ) -> None:
         self._is_ready = is_ready
-        self._list_entrances = list_endpoints
+        self._list_endpoints = list_endpoints
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
         """Answer a call."""
@@ -36,7 +36,7 @@
             raise AnvilshiftError(UNKNOWN_ROUTE)
 
     def _resolve(self, domain: str) -> Reply:
-        found = self._list_entrances(domain)
+        found = self._list_endpoints(domain)
         if not found.addresses:
             return Reply(503)
         body = {
--- a/anvilshift/router/billcopyholders.py
+++ b/anvilshift/router/billcopyholders.py
@@ -31,7 +31,7 @@
     own
         Record of this router.
     read_members
-        Returns the current roster of the other routers.
+        Returns the current table of the other routers.
     """
 
     def __init__(
--- a/anvilshift/router/budgets.py
+++ b/anvilshift/router/budgets.py
@@ -205,13 +205,13 @@
         """Seal holders of unknown routers and resolve tokens in doubt.
 
         A router that dies before its first record is written, or whose record was
-        deleted while its grants were still open, is on no roster.  Without this
+        deleted while its grants were still open, is on no member table.  Without this
         sweep nobody would return the tokens of its grants to the budget.
 
         Parameters
         ----------
         incarnations
-            Incarnations of the routers on the roster.  This router's own one is
+            Incarnations of the routers on the member table.  This router's own one is
             added.
         """
         known = {*incarnations, self._incarnation}
--- a/anvilshift/router/fleet.py
+++ b/anvilshift/router/fleet.py
@@ -169,7 +169,7 @@
             self._renewal_requested.set()
 
     def apply_router_record(self, name: str, body: Body | None) -> None:
-        """Add another router's record to the roster, or remove it if it is None."""
+        """Add another router's record to the table, or remove it if it is None."""
         if name == self.member.name:
             return
         if body is None:
--- a/anvilshift/router/hooks.py
+++ b/anvilshift/router/hooks.py
@@ -1,4 +1,4 @@
-"""What a treasury asks of the rest of its router."""
+"""What the router's budgets ask of the rest of its router."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -28,7 +28,7 @@
 
 @dataclass
 class Hooks:
-    """What a treasury asks of the rest of its router."""
+    """What the router's budgets ask of the rest of its router."""
 
     keep_copies: KeepCopies = _keep_nothing
     store_at_witness: KeepWitnessed = _reach_no_witness
--- a/anvilshift/router/ledgerclient.py
+++ b/anvilshift/router/ledgerclient.py
@@ -49,7 +49,7 @@
 
 
 class LedgerClient:
-    """The reservations, bills and group commits of one ledger object of a treasury.
+    """The reservations, bills and group commits of one ledger object of a router.
 
     Parameters
     ----------
--- a/anvilshift/router/node.py
+++ b/anvilshift/router/node.py
@@ -9,7 +9,7 @@
 
 from absl import logging
 
-from anvilshift.core.addressing import Endpoint, order_entrances
+from anvilshift.core.addressing import Endpoint, order_endpoints
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.declarations import Catalogue
 from anvilshift.core.dispatcher import Dispatcher
@@ -233,7 +233,7 @@
 
     def list_addresses(self) -> dict[str, object]:
         """Return where callers shall connect, this router's domain first."""
-        entrances = [
+        endpoints = [
             Endpoint(
                 s.member.address,
                 s.member.failure_domain,
@@ -245,10 +245,10 @@
         ]
         own = self.fleet.member
         in_flight = self.callers.in_flight
-        entrances.append(
+        endpoints.append(
             Endpoint(own.address, own.failure_domain, in_flight, own.leaving)
         )
-        ordered = order_entrances(entrances, own.failure_domain, self.world.rng)
+        ordered = order_endpoints(endpoints, own.failure_domain, self.world.rng)
         addresses = [
             {"address": e.address, "failure_domain": e.failure_domain} for e in ordered
         ]
@@ -361,8 +361,8 @@
 
     def _take_report(self, report: LoadReport) -> None:
         self.permits.apply_report(report)
-        # A target that is back may name a limit in the same report: what waits for it
-        # is sent as soon as it counts as back.
+        # A target that is back may announce a limit in the same report: what waits for
+        # it is sent as soon as it counts as back.
         self.dispatcher.update_rate_limit(report)
         self.leaving_targets.apply_load_report(report)
         self.dispatch.act(self.dispatcher.load_report(report, self.clock.now()))
--- a/anvilshift/router/permits.py
+++ b/anvilshift/router/permits.py
@@ -84,7 +84,7 @@
     # Assignment of issuers
 
     def update_routers(self) -> None:
-        """Update which routers are connected; drop the desks whose issuer changed."""
+        """Update which routers are connected; drop the queues whose issuer changed."""
         now = self._clock.now()
         member_statuses = self._sources.read_members().member_statuses.values()
         heard = {
--- a/anvilshift/router/relocationprotocol.py
+++ b/anvilshift/router/relocationprotocol.py
@@ -35,7 +35,7 @@
     Parameters
     ----------
     read_members
-        Returns the current roster of the other routers.
+        Returns the current table of the other routers.
     """
 
     dispatch: DispatchLoop
--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -65,7 +65,7 @@
             "if True:\n            return False",
         ),
     ),
-    "second-keeper": (Patch("core/allocators.py", "KEEPERS = 2", "KEEPERS = 1"),),
+    "second-keeper": (Patch("core/allocators.py", "ALLOCATORS = 2", "ALLOCATORS = 1"),),
     "records-of-use": (
         Patch(
             "platform/settings.py",
--- a/bench/budgets.py
+++ b/bench/budgets.py
@@ -1,6 +1,6 @@
 """Compare ways to spend a prepaid budget: ``make budgets``.
 
-The routers' own treasury runs in virtual time on a platform in memory that
+The routers' own budgets run in virtual time on a platform in memory that
 takes 4 ms a call; every way sees the same requests.  Refusals are judged
 against what is really left: a refusal is false when the budget's tokens, less
 those spent and those reserved by work in flight, would have paid for it all the
--- a/bench/soak/journal.py
+++ b/bench/soak/journal.py
@@ -91,7 +91,7 @@
         """Tell whether a bill may have died with every router that had a copy.
 
         In an outage a released bill is with its holder, a witness and two
-        spare keepers.  With four routers that is all of them, and each that
+        spare allocators.  With four routers that is all of them, and each that
         ends takes its copy along; below three losses a copy is left.
         """
         near = [at for at in self.losses if receipt.at <= at <= receipt.at + LOSS_SPAN]
--- a/bench/soak/limits.py
+++ b/bench/soak/limits.py
@@ -28,7 +28,7 @@
     Attributes
     ----------
     since
-        When it named a limit first, or one that is lower.
+        When it announced a limit first, or one that is lower.
     first
         When it began to name limits.
     """
@@ -81,7 +81,7 @@
             await asyncio.ensure_future(tape.run(self.limit_one()))
 
     async def limit_one(self) -> None:
-        """Let one engine name a limit, change it and end it."""
+        """Let one engine announce a limit, change it and end it."""
         soak, rng = self._soak, self._rng
         engine = soak.engines[rng.choice(sorted(soak.engines))]
         soak.journal.faults["name_limit"] += 1
--- a/tests/core/test_allocators.py
+++ b/tests/core/test_allocators.py
@@ -15,18 +15,18 @@
         found = {k for name in ORGANISATIONS for k in list_allocators(name, ROUTERS)}
         self.assertEqual(len(found), 4)
 
-    def test_every_router_computes_the_same_keepers(self):
+    def test_every_router_computes_the_same_allocators(self):
         for name in ORGANISATIONS:
             shuffled = list_allocators(name, list(reversed(ROUTERS)))
             self.assertEqual(list_allocators(name, ROUTERS), shuffled)
 
-    def test_the_second_keeper_becomes_first_when_the_first_leaves(self):
+    def test_the_second_allocator_becomes_first_when_the_first_leaves(self):
         for name in ORGANISATIONS:
             first, second = list_allocators(name, ROUTERS[:4])
             left = [one for one in ROUTERS[:4] if one != first]
             self.assertEqual(list_allocators(name, left)[0], second)
 
-    def test_the_keepers_stay_when_another_router_leaves(self):
+    def test_the_allocators_stay_when_another_router_leaves(self):
         kept = {k for name in ORGANISATIONS for k in list_allocators(name, ROUTERS)}
         gone = next(one for one in ROUTERS if one not in kept)
         left = [one for one in ROUTERS if one != gone]
@@ -37,7 +37,7 @@
 
 
 class KeeperMapTest(unittest.TestCase):
-    def test_a_single_router_is_the_first_keeper_of_everything(self):
+    def test_a_single_router_is_the_first_allocator_of_everything(self):
         allocators = AllocatorMap("r1")
         self.assertEqual(allocators.find_rank("pounds"), 0)
         self.assertEqual(allocators.list_others("pounds"), ())
--- a/tests/core/test_balances.py
+++ b/tests/core/test_balances.py
@@ -94,15 +94,15 @@
         """
         balance = Balance(total=4_000_000, allocators=2, left=400_000)
         balance.rate, balance.rate_updated_at, balance.rate_since = 5.0, 0.0, -60_000.0
-        # A tenth is left: two keepers share 0.45 * 0.1 of it.
+        # A tenth is left: two allocators share 0.45 * 0.1 of it.
         self.assertEqual(balance.cushion(0.0), 9_000)
 
-    def test_keepers_hold_most_of_the_rest_while_use_is_provable(self):
+    def test_allocators_hold_most_of_the_rest_while_use_is_provable(self):
         """Guards against refusals when all routers lose the store for 8 s.
 
-        Free tokens in the store are unreachable then, halfway through a total.
-        Tokens of keepers are not lost when a keeper is killed, because a successor
-        can prove how few of them were spent.
+        Free tokens in the store are unreachable then, halfway through a total.  Tokens
+        of allocators are not lost when an allocator is killed, because a successor can
+        prove how few of them were spent.
         """
         first = Balance(total=1_000_000, left=500_000, rank=0, provable=True)
         second = Balance(total=1_000_000, left=500_000, rank=1, provable=True)
@@ -122,7 +122,7 @@
         self.assertEqual(early.make_use(0.0), Use(0, 54_000, 60_000))
         self.assertEqual(late.make_use(0.0), Use(0, 6_000, 55_000))
 
-    def test_a_router_that_is_no_keeper_returns_idle_tokens(self):
+    def test_a_router_that_is_no_allocator_returns_idle_tokens(self):
         balances = make_balances(ceiling=0)
         balances.balances[POUNDS].rank = None
         balances.credit(POUNDS, 80)
@@ -133,11 +133,11 @@
         balances.debit(POUNDS, 30)
         self.assertEqual(balances.balances[POUNDS].ready, 0)
 
-    def test_a_router_that_is_no_keeper_spends_received_tokens_at_once(self):
-        """Guards against unused transferred tokens at a router that is no keeper.
+    def test_a_router_that_is_no_allocator_spends_received_tokens_at_once(self):
+        """Guards against unused transferred tokens at a router that is no allocator.
 
-        A router that stopped being a keeper serves many requests.  If the pace of
-        its old record still limited it, it would ask the keepers for tokens for each
+        A router that stopped being an allocator serves many requests.  If the pace of
+        its old record still limited it, it would ask the allocators for tokens for each
         request while tokens that they had transferred stay unused.
         """
         balances = make_balances(ceiling=1_000)
@@ -155,7 +155,7 @@
         balances.credit(POUNDS, 500)
         self.assertEqual(balance.available(1.0), 1_500)
 
-    def test_a_router_that_is_no_keeper_draws_only_when_no_keeper_answers(self):
+    def test_a_router_that_is_no_allocator_draws_only_when_no_allocator_answers(self):
         balances = make_balances(ceiling=0)
         balances.balances[POUNDS].rank = None
         balances.reserve(POUNDS, "a", 60, 0.0)
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -21,7 +21,7 @@
 
 
 def make_members(**heard):
-    """Return a roster from the vitals and instant of each member's last heartbeat."""
+    """Return a member table from each member's last heartbeat status and its time."""
     members = MemberTable(LEASE)
     for name, (heartbeat_status, at) in heard.items():
         members = members.record_heartbeat(make_member(name), heartbeat_status, at)
--- a/tests/core/test_tokensearch.py
+++ b/tests/core/test_tokensearch.py
@@ -4,7 +4,7 @@
 
 
 class TokenHuntTest(unittest.TestCase):
-    def test_the_second_keeper_is_asked_once_the_first_lacks_tokens(self):
+    def test_the_second_allocator_is_asked_once_the_first_lacks_tokens(self):
         search = TokenSearch(("r1", "r2"))
         self.assertEqual(search.find_next(0.0), "r1")
         search.note(Answer(False, 900.0))
@@ -25,13 +25,13 @@
         search.find_next(ANSWER_TIMEOUT)
         self.assertFalse(search.is_over(1.5 * ANSWER_TIMEOUT))
 
-    def test_an_unreachable_keeper_is_skipped_without_delay(self):
+    def test_an_unreachable_allocator_is_skipped_without_delay(self):
         search = TokenSearch(("r1", "r2"))
         search.find_next(0.0)
         search.skip()
         self.assertEqual(search.find_next(0.0), "r2")
 
-    def test_exhaustion_is_certain_only_if_all_keepers_report_it(self):
+    def test_exhaustion_is_certain_only_if_all_allocators_report_it(self):
         search = TokenSearch(("r1", "r2"))
         search.note(Answer(True, 4_000.0))
         self.assertFalse(search.is_certain())
--- a/tests/gateway/test_attempts.py
+++ b/tests/gateway/test_attempts.py
@@ -20,7 +20,7 @@
         self.small = small
         self.to_distant = []
 
-    def tell(self, message):
+    def broadcast(self, message):
         pass
 
     def send_near(self, message, domain, soon=True):
--- a/tests/gateway/test_recording.py
+++ b/tests/gateway/test_recording.py
@@ -11,7 +11,7 @@
 SMALL = 700_000
 """Four hosts spend more than half of this before the history proves any bound."""
 HOSTS = ("a", "b", "c", "d")
-KEEPER = list_allocators(POUNDS, HOSTS)[0]
+ALLOCATOR = list_allocators(POUNDS, HOSTS)[0]
 """The host that holds most of the total."""
 
 
@@ -102,7 +102,7 @@
                 fleet.kill(node)
             await asyncio.sleep(1.0)
             spending = []
-            for node in (*(node for node in HOSTS if node != KEEPER), KEEPER):
+            for node in (*(node for node in HOSTS if node != ALLOCATOR), ALLOCATOR):
                 fleet.start(node, SMALL)
                 await asyncio.sleep(0.1)
                 spending += [fleet.spend(node, f"{node}-{n}", 15_000) for n in range(2)]
@@ -125,10 +125,10 @@
             await use_evenly(fleet, 25.0)
             await restart_all(fleet, 1.0)
             for _ in range(9):
-                self.assertTrue(fleet.recorders[KEEPER].can_prove_age())
+                self.assertTrue(fleet.recorders[ALLOCATOR].can_prove_age())
                 await asyncio.sleep(1.0)
             spent = await restart_all(fleet, 1.0)
-            settled = dict(fleet.journals[KEEPER].lines)["use_settled"]
+            settled = dict(fleet.journals[ALLOCATOR].lines)["use_settled"]
             self.assertLess(settled["elapsed"], 4_000.0)
             self.assertGreaterEqual(fleet.read().closed, spent)
 
@@ -159,7 +159,7 @@
             fleet.store.faults.outage = True
             await use_evenly(fleet, 5.0)
             spent = await restart_all(fleet, 0.7)
-            settled = dict(fleet.journals[KEEPER].lines)["use_settled"]
+            settled = dict(fleet.journals[ALLOCATOR].lines)["use_settled"]
             self.assertGreater(settled["elapsed"], 5_000.0)
             self.assertGreaterEqual(fleet.read().closed, spent)
 
@@ -182,7 +182,7 @@
             await asyncio.sleep(1.0)
             burst.cancel()
             spent = await restart_all(fleet, 0.3)
-            settled = dict(fleet.journals[KEEPER].lines)["use_settled"]
+            settled = dict(fleet.journals[ALLOCATOR].lines)["use_settled"]
             self.assertLess(settled["elapsed"], RELEASE_TIME)
             self.assertGreaterEqual(fleet.read().closed, spent)
 
@@ -192,12 +192,14 @@
         async def scenario(fleet):
             start_all(fleet)
             await use_evenly(fleet, 25.0)
-            held = fleet.read().shares[f"{KEEPER}.{HOSTS.index(KEEPER) + 1}"].ceiling
-            fleet.kill(KEEPER)
+            held = (
+                fleet.read().shares[f"{ALLOCATOR}.{HOSTS.index(ALLOCATOR) + 1}"].ceiling
+            )
+            fleet.kill(ALLOCATOR)
             fleet.store.forget_history()
-            fleet.start(KEEPER, TOTAL)
+            fleet.start(ALLOCATOR, TOTAL)
             await asyncio.sleep(1.0)
-            settled = dict(fleet.journals[KEEPER].lines)["use_settled"]
+            settled = dict(fleet.journals[ALLOCATOR].lines)["use_settled"]
             self.assertIsNone(settled["elapsed"])
             self.assertGreaterEqual(fleet.read().closed, held)
 
@@ -212,11 +214,13 @@
         async def scenario(fleet):
             start_all(fleet)
             await use_evenly(fleet, 25.0)
-            held = fleet.read().shares[f"{KEEPER}.{HOSTS.index(KEEPER) + 1}"].ceiling
-            fleet.kill(KEEPER)
-            fleet.start(KEEPER, TOTAL, ip="elsewhere")
+            held = (
+                fleet.read().shares[f"{ALLOCATOR}.{HOSTS.index(ALLOCATOR) + 1}"].ceiling
+            )
+            fleet.kill(ALLOCATOR)
+            fleet.start(ALLOCATOR, TOTAL, ip="elsewhere")
             await asyncio.sleep(1.0)
-            self.assertNotIn("use_settled", fleet.journals[KEEPER].list_events())
+            self.assertNotIn("use_settled", fleet.journals[ALLOCATOR].list_events())
             self.assertGreaterEqual(fleet.read().closed, held)
 
         run_scenario(scenario, recording=True)
--- a/tests/gateway/test_reserving.py
+++ b/tests/gateway/test_reserving.py
@@ -5,8 +5,8 @@
 from tests.gateway.fleet import POUNDS, run_scenario
 
 HOSTS = ("a", "b", "c", "d", "e", "f")
-KEEPERS = list_allocators(POUNDS, HOSTS)
-OTHERS = tuple(host for host in HOSTS if host not in KEEPERS)
+ALLOCATORS = list_allocators(POUNDS, HOSTS)
+OTHERS = tuple(host for host in HOSTS if host not in ALLOCATORS)
 
 
 async def start_all(fleet, total: int, seconds: float = 3.0) -> None:
@@ -18,7 +18,7 @@
 class ReservingTest(unittest.TestCase):
     def test_large_prompts_are_served_while_no_router_reaches_the_store(self):
         """No router reaches the store, and prompts that cost 2 % of an organisation's
-        total arrive at routers that aren't keepers of its tokens.
+        total arrive at routers that aren't allocators of its tokens.
 
         If the tokens were spread over all routers, none would have enough for one.
         """
@@ -32,7 +32,7 @@
 
         run_scenario(scenario)
 
-    def test_in_a_burst_at_all_routers_only_keepers_draw(self):
+    def test_in_a_burst_at_all_routers_only_allocators_draw(self):
         """Sixty requests arrive at six routers at once.
 
         If each router drew for itself, their writes to the shared object would
@@ -45,30 +45,31 @@
             served = await asyncio.gather(*(fleet.spend(*key, 1_000) for key in keys))
             self.assertEqual(served, [True] * 60)
             self.assertEqual(
-                set(fleet.read().shares), {f"{k}.{HOSTS.index(k) + 1}" for k in KEEPERS}
+                set(fleet.read().shares),
+                {f"{k}.{HOSTS.index(k) + 1}" for k in ALLOCATORS},
             )
 
         run_scenario(scenario)
 
-    def test_the_other_keepers_tokens_are_available_after_a_kill(self):
-        """The keeper of most of a total is killed and doesn't return.
+    def test_the_other_allocators_tokens_are_available_after_a_kill(self):
+        """The allocator of most of a total is killed and doesn't return.
 
-        Requests at other routers must get the tokens of the second keeper and the
+        Requests at other routers must get the tokens of the second allocator and the
         free ones even before the kill is noticed.
         """
 
         async def scenario(fleet):
             await start_all(fleet, 100_000)
-            fleet.kill(KEEPERS[0])
+            fleet.kill(ALLOCATORS[0])
             served = [await fleet.spend(OTHERS[0], str(n), 500) for n in range(20)]
             self.assertEqual(served, [True] * 20)
 
         run_scenario(scenario)
 
-    def test_a_router_draws_for_itself_after_both_keepers_are_killed(self):
+    def test_a_router_draws_for_itself_after_both_allocators_are_killed(self):
         async def scenario(fleet):
             await start_all(fleet, 100_000)
-            for allocator in KEEPERS:
+            for allocator in ALLOCATORS:
                 fleet.kill(allocator)
             self.assertTrue(await fleet.spend(OTHERS[0], "x", 500))
 
@@ -92,7 +93,7 @@
 
         run_scenario(scenario)
 
-    def test_unused_tokens_of_a_request_return_to_a_keeper(self):
+    def test_unused_tokens_of_a_request_return_to_an_allocator(self):
         async def scenario(fleet):
             await start_all(fleet, 10_000)
             router = fleet.reservations[OTHERS[0]]
@@ -106,14 +107,14 @@
         run_scenario(scenario)
 
     def test_an_exhausted_total_causes_an_immediate_refusal(self):
-        """A total is spent, and a request arrives at a router that isn't a keeper.
+        """A total is spent, and a request arrives at a router that isn't an allocator.
 
         No tokens can become available, so a wait would only delay the refusal.
         """
 
         async def scenario(fleet):
             await start_all(fleet, 3_000)
-            while await fleet.spend(KEEPERS[0], "x", 100):
+            while await fleet.spend(ALLOCATORS[0], "x", 100):
                 pass
             before = fleet.clock.now()
             self.assertFalse(await fleet.spend(OTHERS[0], "y", 3_000))
--- a/tests/gateway/test_shares.py
+++ b/tests/gateway/test_shares.py
@@ -22,8 +22,8 @@
     def test_routers_that_start_together_do_not_all_write_the_shares(self):
         """After a power failure twelve routers start 110 ms apart.
 
-        A router that knew few others considered itself a keeper and wrote its share.
-        The writes conflicted, and callers waited for the two actual keepers.
+        A router that knew few others considered itself an allocator and wrote its
+        share.  The writes conflicted, and callers waited for the two actual allocators.
         """
 
         async def scenario(fleet):
--- a/tests/router/test_treasury.py
+++ b/tests/router/test_treasury.py
@@ -23,7 +23,7 @@
 
 
 class Bank:
-    """A platform and the treasuries of several routers that exchange tokens."""
+    """A platform and the budgets of several routers that exchange tokens."""
 
     def __init__(
         self, routers: int = 1, tokens: int = 1_000, allowance: int = 100
@@ -31,7 +31,7 @@
         self.store = MemoryStore()
         self.budget = Budget("pounds", allowance=allowance, grant=500)
         self.tokens = tokens
-        self.treasuries = [self.make(f"r{n}") for n in range(1, routers + 1)]
+        self.budgets = [self.make(f"r{n}") for n in range(1, routers + 1)]
 
     def make(self, name: str) -> RouterBudgets:
         view = self.store.view(name)
@@ -39,7 +39,7 @@
         budgets.configure({"pounds": self.budget})
 
         async def ask(account: str) -> None:
-            others = [t for t in self.treasuries if t is not budgets]
+            others = [t for t in self.budgets if t is not budgets]
             await asyncio.gather(*(t.give_back(account) for t in others))
 
         budgets.ask_peers = ask
@@ -47,7 +47,7 @@
 
     async def open(self) -> None:
         await ledgers.top_up(self.store, "pounds", "invoice", self.tokens)
-        for budgets in self.treasuries:
+        for budgets in self.budgets:
             budgets.start()
 
     async def spend(
@@ -86,7 +86,7 @@
         """
         bank = Bank(routers=2)
         await bank.open()
-        first, second = bank.treasuries
+        first, second = bank.budgets
         await first.reserve("pounds", "a", 50)
         await first.reserve("pounds", "b", 50)
         await second.seal("r1-a")
@@ -105,7 +105,7 @@
         """
         bank = Bank(routers=2)
         await bank.open()
-        first, second = bank.treasuries
+        first, second = bank.budgets
         await first.reserve("pounds", "a", 60)
         await first.reserve("pounds", "b", 60)
         bank.store.faults.cut = {"r1"}
@@ -128,7 +128,7 @@
         """
         bank = Bank(routers=2)
         await bank.open()
-        first, second = bank.treasuries
+        first, second = bank.budgets
         await first.reserve("pounds", "a", 60)
         bank.store.faults.cut = {"r1"}
         await first.settle("pounds", "a", "kosice", 60)
@@ -147,7 +147,7 @@
         """
         bank = Bank()
         await bank.open()
-        budgets = bank.treasuries[0]
+        budgets = bank.budgets[0]
         await ledgers.top_up(bank.store, "drums", "invoice", 500)
 
         def overspend(body):
@@ -171,10 +171,10 @@
         """
         bank = Bank(routers=5, tokens=1_000, allowance=100)
         await bank.open()
-        for budgets in bank.treasuries:
+        for budgets in bank.budgets:
             await bank.spend(budgets, f"first-{id(budgets)}", 10)
         for number in range(9):
-            await bank.spend(bank.treasuries[0], f"k{number}", 100)
+            await bank.spend(bank.budgets[0], f"k{number}", 100)
         self.assertEqual(bank.account.spent, 950)
 
     @virtual
@@ -185,7 +185,7 @@
         """
         bank = Bank(tokens=10_000)
         await bank.open()
-        work = [bank.spend(bank.treasuries[0], f"k{n}", 400) for n in range(20)]
+        work = [bank.spend(bank.budgets[0], f"k{n}", 400) for n in range(20)]
         await asyncio.gather(*work)
         self.assertEqual(bank.account.spent, 8_000)
 
@@ -194,7 +194,7 @@
         """Requests to an exhausted budget must be refused without a write each."""
         bank = Bank(routers=2, tokens=300, allowance=0)
         await bank.open()
-        first = bank.treasuries[0]
+        first = bank.budgets[0]
         await bank.spend(first, "a", 300)
         await self.refused(bank.spend(first, "b", 100))
         before = bank.store.calls["put"]
@@ -216,7 +216,7 @@
         """
         bank = Bank(routers=2, tokens=300, allowance=0)
         await bank.open()
-        first, second = bank.treasuries
+        first, second = bank.budgets
         await first.reserve("pounds", "a", 300)
         error = await self.refused(second.reserve("pounds", "b", 100))
         self.assertEqual(error.code, BUDGET_UNREACHABLE)
@@ -232,7 +232,7 @@
         """
         bank = Bank(allowance=50)
         await bank.open()
-        budgets = bank.treasuries[0]
+        budgets = bank.budgets[0]
         await budgets.reserve("pounds", "a", 80)
         bank.store.faults.outage = True
         started_at = VirtualClock().now()
@@ -249,7 +249,7 @@
         """A platform that answers only after seconds must not delay an answer."""
         bank = Bank()
         await bank.open()
-        budgets = bank.treasuries[0]
+        budgets = bank.budgets[0]
         await budgets.reserve("pounds", "a", 80)
 
         async def wait(caller, verb):
@@ -265,7 +265,7 @@
         """Writes whose answers were lost must not bill or close twice."""
         bank = Bank()
         await bank.open()
-        budgets = bank.treasuries[0]
+        budgets = bank.budgets[0]
         for number in range(5):
             bank.store.faults.lose_answers = 1
             await bank.spend(budgets, f"k{number}", 20)
@@ -277,25 +277,25 @@
     async def test_first_bill_after_a_quiet_time_commits_at_once(self):
         bank = Bank()
         await bank.open()
-        await bank.spend(bank.treasuries[0], "a", 10)
+        await bank.spend(bank.budgets[0], "a", 10)
         await asyncio.sleep(10)
-        await bank.treasuries[0].reserve("pounds", "b", 10)
+        await bank.budgets[0].reserve("pounds", "b", 10)
         await asyncio.sleep(2 * SPACING / 1_000)
         started_at = VirtualClock().now()
-        await bank.treasuries[0].settle("pounds", "b", "kosice", 10)
+        await bank.budgets[0].settle("pounds", "b", "kosice", 10)
         self.assertEqual(VirtualClock().now(), started_at)
 
     @virtual
     async def test_orphaned_grant_comes_back(self):
         """The grant of a router that died before its first record must be returned.
 
-        Such a router is on no roster.
+        Such a router is on no member table.
         """
         bank = Bank(routers=2, allowance=0)
         await bank.open()
-        await bank.treasuries[0].reserve("pounds", "a", 300)
+        await bank.budgets[0].reserve("pounds", "a", 300)
         for _ in range(20):
-            await bank.treasuries[1].seal_lost([])
+            await bank.budgets[1].seal_lost([])
             await asyncio.sleep(1)
         self.assertEqual(bank.account.free, 1_000)
 
@@ -304,7 +304,7 @@
         """A router that couldn't reach the platform must use a top-up afterwards."""
         bank = Bank(routers=2, tokens=200)
         await bank.open()
-        first, second = bank.treasuries
+        first, second = bank.budgets
         await bank.spend(first, "a", 50)
         bank.store.faults.cut = {"r1"}
         await ledgers.top_up(bank.store, "pounds", "invoice-2", 400)
@@ -326,11 +326,11 @@
         """
         bank = Bank(routers=3, tokens=300, allowance=0)
         await bank.open()
-        for budgets in bank.treasuries:
+        for budgets in bank.budgets:
             await budgets.reserve("pounds", "crumb", 90)
-        for budgets in bank.treasuries:
+        for budgets in bank.budgets:
             budgets.release("pounds", "crumb")
-        work = [t.reserve("pounds", "k", 250) for t in bank.treasuries]
+        work = [t.reserve("pounds", "k", 250) for t in bank.budgets]
         results = await asyncio.gather(*work, return_exceptions=True)
         self.assertEqual(
             sorted(result is None for result in results)[1:], [False, True]
@@ -340,10 +340,10 @@
     async def test_refusals_that_ask_peers_cost_one_commit_a_round(self):
         bank = Bank(routers=3, tokens=300, allowance=0)
         await bank.open()
-        await bank.treasuries[1].reserve("pounds", "a", 200)
-        await bank.treasuries[0].reserve("pounds", "warm", 10)
+        await bank.budgets[1].reserve("pounds", "a", 200)
+        await bank.budgets[0].reserve("pounds", "warm", 10)
         before = bank.store.calls["put"]
-        work = [bank.treasuries[0].reserve("pounds", f"k{n}", 250) for n in range(50)]
+        work = [bank.budgets[0].reserve("pounds", f"k{n}", 250) for n in range(50)]
         await asyncio.gather(*work, return_exceptions=True)
         self.assertLessEqual(bank.store.calls["put"] - before, 6)
 
@@ -356,7 +356,7 @@
         """
         bank = Bank()
         await bank.open()
-        budgets = bank.treasuries[0]
+        budgets = bank.budgets[0]
         await budgets.reserve("pounds", "a", 80)
         bank.store.faults.after = lambda caller, verb: asyncio.sleep(0.3)
         until = VirtualClock().now() + 200
