--- a/tests/core/test_allocators.py
+++ b/tests/core/test_allocators.py
@@ -6,7 +6,7 @@
 ORGANISATIONS = [f"organisation-{n}" for n in range(24)]
 
 
-class KeepersTest(unittest.TestCase):
+class AllocatorsTest(unittest.TestCase):
     def test_few_routers_keep_the_tokens_of_many_organisations(self):
         """If 32 routers wrote shares of every total, nearly all writes would conflict.
 
@@ -36,7 +36,7 @@
             )
 
 
-class KeeperMapTest(unittest.TestCase):
+class AllocatorMapTest(unittest.TestCase):
     def test_a_single_router_is_the_first_allocator_of_everything(self):
         allocators = AllocatorMap("r1")
         self.assertEqual(allocators.find_rank("pounds"), 0)
--- a/tests/core/test_balances.py
+++ b/tests/core/test_balances.py
@@ -18,7 +18,7 @@
     return balances
 
 
-class WalletTest(unittest.TestCase):
+class BalancesTest(unittest.TestCase):
     def test_a_request_reserves_its_maximum_and_returns_the_rest(self):
         balances = make_balances(ceiling=100)
         self.assertTrue(balances.reserve(POUNDS, "a", 80, 0.0))
--- a/tests/core/test_blame.py
+++ b/tests/core/test_blame.py
@@ -5,7 +5,7 @@
 from anvilshift.core.blame import CrashBlame
 
 
-class BlameBookTest(unittest.TestCase):
+class CrashBlameTest(unittest.TestCase):
     def setUp(self):
         self.blame = CrashBlame()
 
--- a/tests/core/test_endpoints.py
+++ b/tests/core/test_endpoints.py
@@ -10,7 +10,7 @@
     return routers + [Endpoint(f"10.1.0.{n}:80", "south") for n in range(south)]
 
 
-class EntrancesTest(unittest.TestCase):
+class EndpointsTest(unittest.TestCase):
     def test_callers_receive_only_local_routers_if_there_are_enough(self):
         chosen = choose_endpoints(make_routers(4, 6), "north")
         self.assertEqual(chosen, tuple(f"10.0.0.{n}:80" for n in range(4)))
--- a/tests/core/test_holderaccounts.py
+++ b/tests/core/test_holderaccounts.py
@@ -23,7 +23,7 @@
     return ledger
 
 
-class EscrowTest(unittest.TestCase):
+class HolderAccountsTest(unittest.TestCase):
     def test_reservations_never_exceed_the_grant(self):
         holder_accounts, _ = make_holder_accounts()
         self.assertTrue(holder_accounts.reserve("pounds", "a", 400))
--- a/tests/gateway/test_shares.py
+++ b/tests/gateway/test_shares.py
@@ -6,7 +6,7 @@
 from tests.gateway.fleet import POUNDS, run_scenario
 
 
-class AllotterTest(unittest.TestCase):
+class ShareManagerTest(unittest.TestCase):
     def test_the_whole_total_can_be_spent_and_not_more(self):
         async def scenario(fleet):
             for node in ("a", "b", "c"):
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -123,7 +123,7 @@
         await stopping
 
 
-class EntranceTest(GatewayCase):
+class EndpointTest(GatewayCase):
     async def test_callers_are_told_where_to_connect(self):
         await self.start_node()
         port = EndpointPort(self.node.is_ready, self.node.list_endpoints)
