--- a/anvilshift/platform/entrance.py
+++ b/anvilshift/platform/entrance.py
@@ -31,7 +31,7 @@
         list_endpoints: Callable[[str], Endpoints],
     ) -> None:
         self._is_ready = is_ready
-        self._list_entrances = list_endpoints
+        self._list_endpoints = list_endpoints
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
         """Answer a readiness check or an address lookup; refuse any other path."""
@@ -44,11 +44,11 @@
             raise AnvilshiftError(UNKNOWN_ROUTE)
 
     def _resolve(self, domain: str) -> Reply:
-        entrances = self._list_entrances(domain)
-        if not entrances.addresses:
+        endpoints = self._list_endpoints(domain)
+        if not endpoints.addresses:
             return Reply(503)
         body = {
-            "addresses": list(entrances.addresses[:_MAX_ADDRESSES]),
-            "ttlS": entrances.keep / SECOND,
+            "addresses": list(endpoints.addresses[:_MAX_ADDRESSES]),
+            "ttlS": endpoints.keep / SECOND,
         }
         return Reply(200, [JSON_TYPE], dump_json(body))
--- a/anvilshift/router/node.py
+++ b/anvilshift/router/node.py
@@ -9,7 +9,7 @@
 
 from absl import logging
 
-from anvilshift.core.addressing import Endpoint, order_entrances
+from anvilshift.core.addressing import Endpoint, order_endpoints
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.declarations import Catalogue
 from anvilshift.core.dispatcher import Dispatcher
@@ -246,7 +246,7 @@
 
     def list_addresses(self) -> dict[str, object]:
         """Return the routers' addresses for callers, this failure domain first."""
-        entrances = [
+        endpoints = [
             Endpoint(
                 s.member.address,
                 s.member.failure_domain,
@@ -258,7 +258,7 @@
         ]
         own_member = self.fleet.member
         in_flight = self.callers.in_flight
-        entrances.append(
+        endpoints.append(
             Endpoint(
                 own_member.address,
                 own_member.failure_domain,
@@ -266,7 +266,7 @@
                 own_member.leaving,
             )
         )
-        ordered = order_entrances(entrances, own_member.failure_domain, self.world.rng)
+        ordered = order_endpoints(endpoints, own_member.failure_domain, self.world.rng)
         addresses = [
             {"address": e.address, "failure_domain": e.failure_domain} for e in ordered
         ]
--- a/bench/soak/journal.py
+++ b/bench/soak/journal.py
@@ -94,7 +94,7 @@
         """Tell whether every router that had a copy of a bill may have been lost.
 
         During an outage, copies of a released bill are at its holder, at a witness
-        and at two spare keepers.  With four routers that is all of them, and each
+        and at two spare copy holders.  With four routers that is all of them, and each
         router that ends loses its copy; below three losses a copy is left.
         """
         losses = [
