--- a/anvilshift/core/balances.py
+++ b/anvilshift/core/balances.py
@@ -48,19 +48,19 @@
     >>> balances.reserve("pounds", "a", 60, now=1.0)
     True
     >>> balances.settle("pounds", "a", 25, now=2.0)
-    >>> balances.balances["pounds"].available(now=2.0)
+    >>> balances.by_name["pounds"].available(now=2.0)
     75
     """
 
     def __init__(self, holder: str) -> None:
         self.holder = holder
-        self.balances: dict[str, Balance] = {}
+        self.by_name: dict[str, Balance] = {}
         self.seen = Allotments()
 
     def configure(self, totals: Mapping[str, int | None], now: Millis) -> None:
         """Apply the totals of a configuration; None means no limit."""
         for name, total in totals.items():
-            balance = self.balances.setdefault(name, Balance())
+            balance = self.by_name.setdefault(name, Balance())
             balance.limited = total is not None
             if total is not None and total < balance.total:
                 # The total was reduced, so the tokens held here may exceed what
@@ -72,7 +72,7 @@
 
     def reserve(self, name: str, key: str, tokens: int, now: Millis) -> bool:
         """Reserve tokens for a request; return False if too few are available."""
-        balance = self.balances.setdefault(name, Balance())
+        balance = self.by_name.setdefault(name, Balance())
         if balance.limited and tokens > balance.available(now):
             balance.waiting[key] = tokens
             return False
@@ -83,16 +83,16 @@
 
     def is_depleted(self, name: str, now: Millis) -> bool:
         """Tell whether too few tokens were free as of the last write."""
-        balance = self.balances.get(name)
+        balance = self.by_name.get(name)
         return balance is not None and balance.is_depleted(now)
 
     def cancel_waiting(self, name: str, key: str) -> None:
         """Remove a request that was waiting for tokens."""
-        self.balances[name].waiting.pop(key, None)
+        self.by_name[name].waiting.pop(key, None)
 
     def settle(self, name: str, key: str, tokens: int, now: Millis) -> None:
         """Replace a reservation by the tokens used; 0 returns all of it."""
-        balance = self.balances[name]
+        balance = self.by_name[name]
         used = min(tokens, balance.reserved.pop(key, 0))
         balance.settled += used
         if used:
@@ -100,18 +100,18 @@
 
     def wants_change(self, now: Millis) -> bool:
         """Tell whether this router's shares in the store should change."""
-        return any(balance.needs_change(now) for balance in self.balances.values())
+        return any(balance.needs_change(now) for balance in self.by_name.values())
 
     def has_drawable_waiters(self, now: Millis) -> bool:
         """Tell whether a request waits for tokens that can be drawn now."""
         return any(
             balance.lacks() and balance.draws(now) and not balance.is_depleted(now)
-            for balance in self.balances.values()
+            for balance in self.by_name.values()
         )
 
     def record_missing_allocator(self, name: str, now: Millis) -> None:
         """Record that no allocator of an organisation's tokens answered."""
-        self.balances[name].self_draw_until = now + _SELF_DRAW_SPAN
+        self.by_name[name].self_draw_until = now + _SELF_DRAW_SPAN
 
     def make_share_requests(self, now: Millis) -> dict[str, ShareRequest]:
         """Return the share changes to request, after applying reductions locally.
@@ -121,7 +121,7 @@
         router has since drawn.
         """
         requests = {}
-        for name, balance in self.balances.items():
+        for name, balance in self.by_name.items():
             if balance.needs_change(now):
                 requests[name] = balance.make_share_request(now)
                 balance.ceiling = min(balance.ceiling, requests[name].ceiling)
@@ -138,7 +138,7 @@
             How long the free tokens count as known.
         """
         self.seen = allotments
-        for name, balance in self.balances.items():
+        for name, balance in self.by_name.items():
             balance.ceiling = max(allotments.ceiling(name, self.holder), balance.spent)
             known = allotments.of(name)
             balance.left = (
@@ -150,12 +150,12 @@
 
     def set_provable(self, provable: bool) -> None:
         """Set whether a successor could prove how many tokens were spent here."""
-        for balance in self.balances.values():
+        for balance in self.by_name.values():
             balance.provable = provable
 
     def set_allocators(self, allocators: AllocatorMap) -> None:
         """Update which routers are the allocators of each organisation's tokens."""
-        for name, balance in self.balances.items():
+        for name, balance in self.by_name.items():
             balance.rank = allocators.find_rank(name)
             balance.allocators = len(allocators.list_allocators(name))
 
@@ -163,12 +163,12 @@
         """Tell whether this router must record its use of any organisation's tokens."""
         return any(
             balance.limited and (balance.keeping or balance.is_rate_limited())
-            for balance in self.balances.values()
+            for balance in self.by_name.values()
         )
 
     def make_uses(self, now: Millis) -> dict[str, Use]:
         """Return the use of every limited organisation to write to the record."""
-        limited = {name: p for name, p in self.balances.items() if p.limited}
+        limited = {name: p for name, p in self.by_name.items() if p.limited}
         return {name: balance.make_use(now) for name, balance in limited.items()}
 
     def limit_by_record(self, record: UseRecord) -> None:
@@ -177,15 +177,15 @@
         The limit applies before the write, which may take effect unnoticed.
         """
         for name, use in record.uses.items():
-            if name in self.balances:
-                self.balances[name].record_limits += (RecordLimit(record.anchor, use),)
+            if name in self.by_name:
+                self.by_name[name].record_limits += (RecordLimit(record.anchor, use),)
 
     def confirm_record(self, record: UseRecord) -> None:
         """Limit spending only by a record that the store has confirmed.
 
         Earlier writes without a response can no longer take effect.
         """
-        for name, balance in self.balances.items():
+        for name, balance in self.by_name.items():
             use = record.uses.get(name)
             balance.record_limits = (RecordLimit(record.anchor, use),) if use else ()
 
@@ -199,15 +199,15 @@
         Examples
         --------
         >>> balances = Balances("r1")
-        >>> balances.balances["pounds"] = Balance(total=100, ceiling=100)
+        >>> balances.by_name["pounds"] = Balance(total=100, ceiling=100)
         >>> balances.reserve("pounds", "r2/7", 80, now=0.0)
         True
         >>> balances.transfer_reservation("pounds", "r2/7", now=0.0)
         80
-        >>> balances.balances["pounds"].available(0.0)
+        >>> balances.by_name["pounds"].available(0.0)
         20
         """
-        given = self.balances[name].reserved.get(key, 0)
+        given = self.by_name[name].reserved.get(key, 0)
         self.settle(name, key, given, now)
         return given
 
@@ -216,19 +216,19 @@
 
         Only organisations for which this router is not an allocator are listed.
         """
-        idle = {name: p.find_returnable(now) for name, p in self.balances.items()}
+        idle = {name: p.find_returnable(now) for name, p in self.by_name.items()}
         return {name: tokens for name, tokens in idle.items() if tokens > 0}
 
     def debit(self, name: str, tokens: int) -> None:
         """Count tokens as spent that are about to be transferred."""
-        self.balances[name].settled += tokens
+        self.by_name[name].settled += tokens
 
     def find_wait(self, name: str, key: str, now: Millis) -> Millis | None:
         """Return how long until a waiting request may reserve if nothing is drawn.
 
         Requests that began to wait earlier go first.  None means never.
         """
-        balance = self.balances[name]
+        balance = self.by_name[name]
         tokens = 0
         for waiting_key, needed in balance.waiting.items():
             tokens += needed
@@ -238,8 +238,8 @@
 
     def credit(self, name: str, tokens: int) -> None:
         """Add tokens that another router transferred."""
-        if name in self.balances:
-            self.balances[name].settled -= tokens
+        if name in self.by_name:
+            self.by_name[name].settled -= tokens
 
     def is_exhausted(self, name: str, tokens: int) -> bool:
         """Tell whether the total certainly can't cover this many tokens.
@@ -248,7 +248,7 @@
         in doubt of holders that ended, may be unspent; exhaustion is not certain
         while they would cover the request.
         """
-        balance = self.balances[name]
+        balance = self.by_name[name]
         known: Allotment = self.seen.of(name)
         total = min(balance.total, known.total) if known.version else balance.total
         own = known.shares.get(self.holder)
--- a/anvilshift/core/holderaccounts.py
+++ b/anvilshift/core/escrow.py
@@ -1,6 +1,6 @@
 """Local accounting of a holder's grants: reserve, bill, refill and return tokens.
 
-`HolderAccounts` serves the request path without a call to the platform.  A request
+`Escrow` serves the request path without a call to the platform.  A request
 reserves the maximum that it can cost; when it ends, its bill is pending until it is
 recorded, and the unused part of the reservation is available at once.
 """
@@ -18,13 +18,13 @@
 """Pairs of account name and bill."""
 
 
-class HolderAccounts:
+class Escrow:
     """The grants of one holder in one ledger.
 
     Examples
     --------
     >>> from anvilshift.core.ledger import Grant
-    >>> holder_accounts = HolderAccounts("r1")
+    >>> holder_accounts = Escrow("r1")
     >>> holder_accounts.open("pounds", allowance=100, level=300)
     >>> commit = holder_accounts.begin_commit()
     >>> commit.draws["pounds"].want
@@ -193,14 +193,14 @@
                     grant_state.pending
                 )
 
-    def succeed(self, holder: str) -> "HolderAccounts":
+    def succeed(self, holder: str) -> "Escrow":
         """Return the accounts of the holder that replaces this sealed one.
 
         Requests in flight continue: their reservations and their unreleased bills
         are carried over.  Another router may hold the tokens for them by now, so
         the ledger draws the tokens they need again, or refuses the bill.
         """
-        successor = HolderAccounts(holder)
+        successor = Escrow(holder)
         successor.witness = self.witness
         for name, state in self.grant_states.items():
             successor.open(name, state.allowance, state.level)
--- a/anvilshift/core/lease.py
+++ b/anvilshift/core/lease.py
@@ -8,7 +8,7 @@
 """
 
 from anvilshift.core.clock import Millis
-from anvilshift.core.membership import MemberTable
+from anvilshift.core.membership import Roster
 
 _SLOW_DIVISOR = 8
 """A renewal that takes longer than the lease divided by this number is reported to the
@@ -76,7 +76,7 @@
             return 0.0
         return now - self._renewing_since
 
-    def may_serve(self, members: MemberTable, seen: int, now: Millis) -> bool:
+    def may_serve(self, members: Roster, seen: int, now: Millis) -> bool:
         """Tell whether the router may take new work.
 
         It must be called at every heartbeat.  A router that stopped stays stopped
--- a/anvilshift/core/membership.py
+++ b/anvilshift/core/membership.py
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True)
-class MemberTable:
+class Roster:
     """The other routers of the fleet, as one router sees them.
 
     Parameters
@@ -110,7 +110,7 @@
     Examples
     --------
     >>> member = Member("r2", "r2-a", "h2", "127.0.0.1:1", "127.0.0.1:2", "north")
-    >>> members = MemberTable(lease=5_000.0).record_renewal(member, now=0.0)
+    >>> members = Roster(lease=5_000.0).record_renewal(member, now=0.0)
     >>> members.lost(now=4_000.0), len(members.lost(now=6_000.0))
     ([], 1)
     """
@@ -118,7 +118,7 @@
     lease: Millis
     member_statuses: Mapping[str, MemberStatus] = field(default_factory=dict)
 
-    def record_renewal(self, member: Member, now: Millis) -> "MemberTable":
+    def record_renewal(self, member: Member, now: Millis) -> "Roster":
         """Return the table updated with a member's new platform record."""
         old = self.member_statuses.get(member.name)
         if old is not None and old.member == member:
@@ -135,14 +135,14 @@
 
     def record_heartbeat(
         self, member: Member, heartbeat_status: HeartbeatStatus, now: Millis
-    ) -> "MemberTable":
+    ) -> "Roster":
         """Return the table updated with a member's heartbeat."""
         status = MemberStatus(member, now, heartbeat_status, last_heartbeat=now)
         return replace(
             self, member_statuses={**self.member_statuses, member.name: status}
         )
 
-    def remove(self, name: str) -> "MemberTable":
+    def remove(self, name: str) -> "Roster":
         """Return the table without a member."""
         remaining = {k: v for k, v in self.member_statuses.items() if k != name}
         return replace(self, member_statuses=remaining)
--- a/anvilshift/gateway/reserving.py
+++ b/anvilshift/gateway/reserving.py
@@ -178,7 +178,7 @@
 
     def _request_tokens(self, name: str, tokens: int, number: int, now: Millis) -> None:
         """Trigger a record, an ask or a draw, whichever may provide the tokens."""
-        search, balance = self._searches[number], self.balances.balances[name]
+        search, balance = self._searches[number], self.balances.by_name[name]
         if self.recorder and tokens <= balance.ready:
             self.recorder.record_soon()
         allocator = search.find_next(now)
@@ -191,7 +191,7 @@
 
     def _has_failed(self, name: str, tokens: int, search: TokenSearch) -> bool:
         """Tell whether no allocator, no record and no draw can provide the tokens."""
-        now, balance = self.clock.now(), self.balances.balances[name]
+        now, balance = self.clock.now(), self.balances.by_name[name]
         if not search.is_over(now):
             return False
         if self.allotter.has_just_started() and balance.draws(now):
@@ -245,7 +245,7 @@
     def _make_refusal(
         self, name: str, tokens: int, certain: bool, wait: Millis | None
     ) -> AnvilshiftError:
-        balance, now = self.balances.balances[name], self.clock.now()
+        balance, now = self.balances.by_name[name], self.clock.now()
         known = self.balances.seen.of(name)
         self.journal.write(
             "budget_refused",
@@ -287,7 +287,7 @@
 
     async def _answer(self, ask: Ask) -> Gift | Lack:
         name, key = ask.organisation, f"{ask.holder}#{ask.number}"
-        if name not in self.balances.balances:
+        if name not in self.balances.by_name:
             return Lack(ask.holder, ask.number, name, False, _RETRY_DELAY)
         now = self.clock.now()
         if not self.balances.reserve(name, key, ask.tokens, now):
--- a/anvilshift/gateway/shares.py
+++ b/anvilshift/gateway/shares.py
@@ -148,7 +148,7 @@
 
     def list_spent(self) -> dict[str, int]:
         """Return the tokens spent or reserved here, by organisation."""
-        return {name: balance.spent for name, balance in self.balances.balances.items()}
+        return {name: balance.spent for name, balance in self.balances.by_name.items()}
 
     async def run(self) -> None:
         """Draw and return tokens until cancelled."""
@@ -288,8 +288,8 @@
             free=sum(one.free for one in shares.values()),
             closed=sum(one.closed for one in shares.values()),
             doubt=sum(one.doubt for one in shares.values()),
-            own_spent=sum(balance.spent for balance in self.balances.balances.values()),
-            own_ready=sum(balance.ready for balance in self.balances.balances.values()),
+            own_spent=sum(balance.spent for balance in self.balances.by_name.values()),
+            own_ready=sum(balance.ready for balance in self.balances.by_name.values()),
         )
 
     def _end_former(self, allotments: Allotments) -> Allotments:
@@ -316,7 +316,7 @@
         spent = {
             name: SpendingBounds(one, one) for name, one in self.list_spent().items()
         }
-        for balance in self.balances.balances.values():
+        for balance in self.balances.by_name.values():
             balance.ceiling = balance.spent
 
         def change(body: Body | None) -> Body:
--- a/anvilshift/router/billcopyholders.py
+++ b/anvilshift/router/billcopyholders.py
@@ -12,7 +12,7 @@
 
 from anvilshift.core.billcopies import BillCopies
 from anvilshift.core.clock import Clock
-from anvilshift.core.membership import Member, MemberTable
+from anvilshift.core.membership import Member, Roster
 from anvilshift.peers.generated.peers_pb2 import KeepRequest
 from anvilshift.peers.link import PeerError, PeerLink
 from anvilshift.router.messages import Bills, make_keep_request
@@ -39,7 +39,7 @@
         link: PeerLink,
         clock: Clock,
         own: Member,
-        read_members: Callable[[], MemberTable],
+        read_members: Callable[[], Roster],
     ) -> None:
         self._link = link
         self._clock = clock
--- a/anvilshift/router/budgets.py
+++ b/anvilshift/router/budgets.py
@@ -9,7 +9,7 @@
 from anvilshift.core.clock import SECOND, Clock, Millis
 from anvilshift.core.declarations import Budget
 from anvilshift.core.errors import BUDGET_UNREACHABLE, AnvilshiftError
-from anvilshift.core.holderaccounts import Bills
+from anvilshift.core.escrow import Bills
 from anvilshift.core.ledger import Ledger
 from anvilshift.objects.ledgers import (
     LEDGER_KIND,
@@ -205,13 +205,13 @@
         """Seal holders of unknown routers and resolve tokens in doubt.
 
         A router that dies before its first record is written, or whose record was
-        deleted while its grants were still open, is in no member table.  Without this
+        deleted while its grants were still open, is in no roster.  Without this
         sweep nobody would return the tokens of its grants to the budget.
 
         Parameters
         ----------
         incarnations
-            Incarnations of the routers in the member table.  This router's own one is
+            Incarnations of the routers in the roster.  This router's own one is
             added.
         """
         known = {*incarnations, self._incarnation}
--- a/anvilshift/router/fleet.py
+++ b/anvilshift/router/fleet.py
@@ -14,7 +14,7 @@
 from anvilshift.core.clock import SECOND, Clock, Millis
 from anvilshift.core.errors import AnvilshiftError
 from anvilshift.core.lease import Lease
-from anvilshift.core.membership import HeartbeatStatus, Member, MemberTable
+from anvilshift.core.membership import HeartbeatStatus, Member, Roster
 from anvilshift.objects.records import decode, encode
 from anvilshift.objects.store import Body, ConflictError, ObjectStore, update
 from anvilshift.peers.generated.peers_pb2 import (
@@ -87,7 +87,7 @@
         direct: ObjectStore | None = None,
     ) -> None:
         self.member = member
-        self.members = MemberTable(lease)
+        self.members = Roster(lease)
         self.lease = Lease(lease)
         self.required_revision = 0
         """Revision that must be in force here before this router takes new work."""
--- a/anvilshift/router/hooks.py
+++ b/anvilshift/router/hooks.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from anvilshift.core.holderaccounts import Bills
+from anvilshift.core.escrow import Bills
 
 KeepCopies = Callable[[str, Bills, str], Awaitable[bool]]
 """Sends copies of a holder's bills to routers other than its witness.
--- a/anvilshift/router/ledgerclient.py
+++ b/anvilshift/router/ledgerclient.py
@@ -16,7 +16,7 @@
     BUDGET_UNREACHABLE,
     AnvilshiftError,
 )
-from anvilshift.core.holderaccounts import HolderAccounts
+from anvilshift.core.escrow import Escrow
 from anvilshift.core.ledger import Commit, Ledger, Outcome
 from anvilshift.objects.cached import CachedObject
 from anvilshift.objects.ledgers import LEDGER_KIND, decode_ledger
@@ -70,7 +70,7 @@
         hooks: Hooks,
     ) -> None:
         self.name = name
-        self.holder_accounts = HolderAccounts(incarnation)
+        self.holder_accounts = Escrow(incarnation)
         self.last_ledger = Ledger()
         self._clock = clock
         self._incarnation = incarnation
@@ -366,7 +366,7 @@
         self._spawn(self._submit_released(sealed))
         self._commit_requested.set()
 
-    async def _submit_released(self, sealed: HolderAccounts) -> None:
+    async def _submit_released(self, sealed: Escrow) -> None:
         released = sealed.list_released()
         while True:
             try:
--- a/anvilshift/router/permits.py
+++ b/anvilshift/router/permits.py
@@ -13,7 +13,7 @@
 from absl import logging
 
 from anvilshift.core.clock import SECOND, Clock, Millis
-from anvilshift.core.membership import Member, MemberTable
+from anvilshift.core.membership import Member, Roster
 from anvilshift.core.permits import (
     TAKEOVER_DELAY,
     Bid,
@@ -58,7 +58,7 @@
     """
 
     own: Member
-    read_members: Callable[[], MemberTable]
+    read_members: Callable[[], Roster]
     link: PeerLink
     dispatch: DispatchLoop
     telemetry: Telemetry
--- a/anvilshift/router/relocationprotocol.py
+++ b/anvilshift/router/relocationprotocol.py
@@ -13,7 +13,7 @@
 
 from anvilshift.core.clock import Clock
 from anvilshift.core.dispatcher import Dispatcher
-from anvilshift.core.membership import MemberTable
+from anvilshift.core.membership import Roster
 from anvilshift.core.work import Ask
 from anvilshift.peers.generated.peers_pb2 import RelocateReply, RelocateRequest
 from anvilshift.peers.link import PeerError, PeerLink
@@ -42,7 +42,7 @@
     dispatcher: Dispatcher
     link: PeerLink
     clock: Clock
-    read_members: Callable[[], MemberTable]
+    read_members: Callable[[], Roster]
     _known_incarnations: dict[str, str] = field(default_factory=dict)
     _tasks: set[asyncio.Task[bool]] = field(default_factory=set)
 
--- a/anvilshift/router/sealing.py
+++ b/anvilshift/router/sealing.py
@@ -5,7 +5,7 @@
 
 from anvilshift.core.account import BillState
 from anvilshift.core.clock import Clock
-from anvilshift.core.holderaccounts import Bills
+from anvilshift.core.escrow import Bills
 from anvilshift.core.ledger import BillKey, Ledger
 from anvilshift.objects.cached import CachedObject
 from anvilshift.objects.ledgers import make_body_change
--- a/bench/budgets.py
+++ b/bench/budgets.py
@@ -21,7 +21,7 @@
 from anvilshift.core.clock import Millis
 from anvilshift.core.declarations import Budget
 from anvilshift.core.errors import AnvilshiftError
-from anvilshift.core.holderaccounts import HolderAccounts
+from anvilshift.core.escrow import Escrow
 from anvilshift.core.ledger import Bill, Ledger
 from anvilshift.objects import ledgers
 from anvilshift.objects.records import decode
@@ -100,7 +100,7 @@
 
     def __init__(self, store: MemoryStore, name: str) -> None:
         self._store = store.view(name)
-        self._holder_accounts = HolderAccounts(name)
+        self._holder_accounts = Escrow(name)
         self._lock = asyncio.Lock()
 
     async def _commit(self) -> None:
--- a/bench/ledgers.py
+++ b/bench/ledgers.py
@@ -1,6 +1,6 @@
 """Measure the cost of ledgers and grant states by size, in one process."""
 
-from anvilshift.core.holderaccounts import HolderAccounts
+from anvilshift.core.escrow import Escrow
 from anvilshift.core.ledger import Bill, Commit, Draw, Grant, Ledger, Outcome
 from anvilshift.objects.records import decode, encode
 from anvilshift.wire.jsons import dump_json
@@ -70,9 +70,9 @@
     return float(len(dump_json(encode(make_ledger(1, bills=size)))))
 
 
-def make_holder_accounts(size: int) -> HolderAccounts:
+def make_holder_accounts(size: int) -> Escrow:
     """Return the accounts of a router that holds a funded grant of each budget."""
-    holder_accounts = HolderAccounts("router-0000-0123456789ab")
+    holder_accounts = Escrow("router-0000-0123456789ab")
     for index in range(size):
         holder_accounts.open(f"budget-{index:05}", 2_000, 20_000)
     commit = holder_accounts.begin_commit()
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -24,7 +24,7 @@
 )
 from anvilshift.core.dispatcher import Dispatcher
 from anvilshift.core.labels import Selector
-from anvilshift.core.membership import HeartbeatStatus, Member, MemberTable
+from anvilshift.core.membership import HeartbeatStatus, Member, Roster
 from anvilshift.core.work import DispatchSettings, LoadReport, Target, Work
 from anvilshift.engines.http import HttpConnector
 from anvilshift.peers.generated.peers_pb2 import Heartbeat
@@ -58,9 +58,9 @@
     )
 
 
-def make_members(size: int) -> MemberTable:
-    """Return the member table of a fleet as one of its routers keeps it."""
-    members = MemberTable(lease=5_000.0)
+def make_members(size: int) -> Roster:
+    """Return the roster of a fleet as one of its routers keeps it."""
+    members = Roster(lease=5_000.0)
     for index in range(size):
         members = members.record_renewal(make_member(index), 0.0)
     return members
@@ -169,7 +169,7 @@
 
 
 def measure_members_bytes(size: int) -> float:
-    """Return the memory of one router's member table in bytes."""
+    """Return the memory of one router's roster in bytes."""
     return measure_bytes(lambda: make_members(size))
 
 
--- a/tests/core/test_balances.py
+++ b/tests/core/test_balances.py
@@ -25,13 +25,13 @@
         self.assertFalse(balances.reserve(POUNDS, "b", 30, 0.0))
         balances.settle(POUNDS, "a", 50, 1.0)
         self.assertTrue(balances.reserve(POUNDS, "b", 30, 2.0))
-        self.assertEqual(balances.balances[POUNDS].available(2.0), 20)
+        self.assertEqual(balances.by_name[POUNDS].available(2.0), 20)
 
     def test_a_request_never_costs_more_than_it_reserved(self):
         balances = make_balances(ceiling=100)
         balances.reserve(POUNDS, "a", 80, 0.0)
         balances.settle(POUNDS, "a", 1_000, 1.0)
-        self.assertEqual(balances.balances[POUNDS].spent, 80)
+        self.assertEqual(balances.by_name[POUNDS].spent, 80)
 
     def test_an_organisation_without_a_total_is_not_limited(self):
         balances = Balances("r1")
@@ -48,7 +48,7 @@
         balances = make_balances(ceiling=9_000)
         request = balances.make_share_requests(now=0.0)[POUNDS]
         self.assertLess(request.ceiling, 9_000)
-        self.assertEqual(balances.balances[POUNDS].ceiling, request.ceiling)
+        self.assertEqual(balances.by_name[POUNDS].ceiling, request.ceiling)
 
     def test_transferred_tokens_count_once(self):
         giver, receiver = make_balances(ceiling=100), make_balances(ceiling=0)
@@ -56,7 +56,7 @@
         given = giver.transfer_reservation(POUNDS, "r2/1", 0.0)
         self.assertEqual(given, 50)
         receiver.credit(POUNDS, given)
-        together = giver.balances[POUNDS].ready + receiver.balances[POUNDS].ready
+        together = giver.by_name[POUNDS].ready + receiver.by_name[POUNDS].ready
         self.assertEqual(together, 100)
 
     def test_a_reduced_total_disables_held_tokens_at_once(self):
@@ -71,7 +71,7 @@
             now = second * 1_000.0
             balances.reserve(POUNDS, str(second), 5_000, now)
             balances.settle(POUNDS, str(second), 5_000, now)
-        cushion = balances.balances[POUNDS].cushion(29_000.0)
+        cushion = balances.by_name[POUNDS].cushion(29_000.0)
         # 5 tokens per millisecond for 10 s.
         self.assertAlmostEqual(cushion, 50_000, delta=0.15 * 50_000)
 
@@ -124,14 +124,14 @@
 
     def test_a_router_that_is_no_allocator_returns_idle_tokens(self):
         balances = make_balances(ceiling=0)
-        balances.balances[POUNDS].rank = None
+        balances.by_name[POUNDS].rank = None
         balances.credit(POUNDS, 80)
         self.assertTrue(balances.reserve(POUNDS, "a", 60, 0.0))
         balances.settle(POUNDS, "a", 50, 10.0)
         self.assertEqual(balances.find_returnable(900.0), {})
         self.assertEqual(balances.find_returnable(1_100.0), {POUNDS: 30})
         balances.debit(POUNDS, 30)
-        self.assertEqual(balances.balances[POUNDS].ready, 0)
+        self.assertEqual(balances.by_name[POUNDS].ready, 0)
 
     def test_a_router_that_is_no_allocator_spends_received_tokens_at_once(self):
         """Guards against unused transferred tokens at a router that is no allocator.
@@ -145,7 +145,7 @@
             UseRecord("r1", "ip", 0.0, uses=balances.make_uses(0.0))
         )
         self.assertTrue(balances.must_record_use())
-        balance = balances.balances[POUNDS]
+        balance = balances.by_name[POUNDS]
         balance.rank = None
         self.assertTrue(balances.must_record_use())
         balances.confirm_record(
@@ -157,7 +157,7 @@
 
     def test_a_router_that_is_no_allocator_draws_only_when_no_allocator_answers(self):
         balances = make_balances(ceiling=0)
-        balances.balances[POUNDS].rank = None
+        balances.by_name[POUNDS].rank = None
         balances.reserve(POUNDS, "a", 60, 0.0)
         self.assertFalse(balances.has_drawable_waiters(0.0))
         balances.record_missing_allocator(POUNDS, 0.0)
@@ -189,11 +189,11 @@
         uses = [Use(0, 300, 1_000), Use(100, 50, 900)]
         records = [UseRecord("r1", "ip", 0.0, uses={POUNDS: use}) for use in uses]
         balances.limit_by_record(records[0])
-        self.assertEqual(balances.balances[POUNDS].available(0.0), 300)
+        self.assertEqual(balances.by_name[POUNDS].available(0.0), 300)
         balances.limit_by_record(records[1])
-        self.assertEqual(balances.balances[POUNDS].available(0.0), 150)
+        self.assertEqual(balances.by_name[POUNDS].available(0.0), 150)
         balances.confirm_record(records[0])
-        self.assertEqual(balances.balances[POUNDS].available(0.0), 300)
+        self.assertEqual(balances.by_name[POUNDS].available(0.0), 300)
 
     def test_a_paced_router_lacks_nothing_and_draws_nothing(self):
         balances = make_balances(ceiling=1_000)
@@ -203,13 +203,13 @@
         self.assertFalse(balances.reserve(POUNDS, "a", 400, 0.0))
         self.assertFalse(balances.has_drawable_waiters(0.0))
         # A third of the other 900 tokens unlocks after 8 s * sqrt(1/3).
-        wait = balances.balances[POUNDS].find_wait(400, 0.0)
+        wait = balances.by_name[POUNDS].find_wait(400, 0.0)
         self.assertAlmostEqual(wait, 8_000.0 * (1 / 3) ** 0.5)
         self.assertTrue(balances.reserve(POUNDS, "a", 400, wait + 5.0))
 
     def test_waiting_requests_are_recorded_as_spent(self):
         balances = make_balances(ceiling=1_000)
-        balances.balances[POUNDS].waiting["a"] = 400
+        balances.by_name[POUNDS].waiting["a"] = 400
         use = balances.make_uses(0.0)[POUNDS]
         self.assertEqual((use.recorded, use.cushion), (400, 600))
 
--- a/tests/core/test_budget_machine.py
+++ b/tests/core/test_budget_machine.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from anvilshift.core.billcopies import BillCopies
-from anvilshift.core.holderaccounts import HolderAccounts
+from anvilshift.core.escrow import Escrow
 from anvilshift.core.ledger import Bill, BillState, Commit, Ledger, Outcome
 
 SEEDS = 200
@@ -18,18 +18,18 @@
     """A router's budget state; its ledger calls begin and end in separate events."""
 
     incarnation: str
-    holder_accounts: HolderAccounts
+    holder_accounts: Escrow
     copies: BillCopies
     allowance: int = 60
     generation: int = 0
     running: dict[str, int] = field(default_factory=dict)
     commit: Commit | None = None
     outcome: Outcome | None = None
-    sealed: list[HolderAccounts] = field(default_factory=list)
+    sealed: list[Escrow] = field(default_factory=list)
 
     @classmethod
     def start(cls, name: str) -> "Router":
-        router = cls(name, HolderAccounts(name), BillCopies(name))
+        router = cls(name, Escrow(name), BillCopies(name))
         router.holder_accounts.open("pounds", router.allowance, level=150)
         return router
 
--- a/tests/core/test_holderaccounts.py
+++ b/tests/core/test_escrow.py
@@ -3,27 +3,27 @@
 import unittest
 
 from anvilshift.core.errors import BUDGET_EXHAUSTED, BUDGET_UNREACHABLE
-from anvilshift.core.holderaccounts import HolderAccounts
+from anvilshift.core.escrow import Escrow
 from anvilshift.core.ledger import Bill, BillState, Grant, Ledger
 
 
 def make_holder_accounts(
     tokens: int = 1_000, allowance: int = 100
-) -> tuple[HolderAccounts, Ledger]:
-    holder_accounts = HolderAccounts("r1")
+) -> tuple[Escrow, Ledger]:
+    holder_accounts = Escrow("r1")
     holder_accounts.open("pounds", allowance, level=500)
     ledger = Ledger().top_up("pounds", "invoice", tokens)
     return holder_accounts, commit(holder_accounts, ledger)
 
 
-def commit(holder_accounts: HolderAccounts, ledger: Ledger) -> Ledger:
+def commit(holder_accounts: Escrow, ledger: Ledger) -> Ledger:
     request = holder_accounts.begin_commit()
     ledger, outcome = ledger.apply(request)
     holder_accounts.finish_commit(request, outcome)
     return ledger
 
 
-class HolderAccountsTest(unittest.TestCase):
+class EscrowTest(unittest.TestCase):
     def test_reservations_never_exceed_the_grant(self):
         holder_accounts, _ = make_holder_accounts()
         self.assertTrue(holder_accounts.reserve("pounds", "a", 400))
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -3,7 +3,7 @@
 import unittest
 
 from anvilshift.core.lease import Lease
-from anvilshift.core.membership import HeartbeatStatus, Member, MemberTable
+from anvilshift.core.membership import HeartbeatStatus, Member, Roster
 
 LEASE = 4_000.0
 OUT = HeartbeatStatus(reaches_platform=False, renewing_for=0.0)
@@ -21,8 +21,8 @@
 
 
 def make_members(**heard):
-    """Return a member table from each member's last status and its instant."""
-    members = MemberTable(LEASE)
+    """Return a roster from each member's last status and its instant."""
+    members = Roster(LEASE)
     for name, (heartbeat_status, at) in heard.items():
         members = members.record_heartbeat(make_member(name), heartbeat_status, at)
     return members
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -158,7 +158,7 @@
     def kill(self, node: str) -> None:
         for task in self.tasks.pop(node):
             task.cancel()
-        self.spent += self.allotters.pop(node).balances.balances[POUNDS].settled
+        self.spent += self.allotters.pop(node).balances.by_name[POUNDS].settled
         del self.reservations[node]
         asyncio.get_running_loop().call_later(_DETECTION_S, self._note_routers)
 
@@ -173,7 +173,7 @@
         return True
 
     def count_spent(self) -> int:
-        live = [a.balances.balances[POUNDS].settled for a in self.allotters.values()]
+        live = [a.balances.by_name[POUNDS].settled for a in self.allotters.values()]
         return self.spent + sum(live)
 
     def read(self):
--- a/tests/gateway/test_reserving.py
+++ b/tests/gateway/test_reserving.py
@@ -99,9 +99,9 @@
             router = fleet.reservations[OTHERS[0]]
             await router.reserve(POUNDS, "x", 90, fleet.clock.now() + 1_000.0)
             router.settle(POUNDS, "x", 10)
-            self.assertEqual(router.balances.balances[POUNDS].ready, 80)
+            self.assertEqual(router.balances.by_name[POUNDS].ready, 80)
             await asyncio.sleep(1.5)
-            self.assertEqual(router.balances.balances[POUNDS].ready, 0)
+            self.assertEqual(router.balances.by_name[POUNDS].ready, 0)
             self.assertEqual(fleet.count_spent(), 10)
 
         run_scenario(scenario)
--- a/tests/gateway/test_shares.py
+++ b/tests/gateway/test_shares.py
@@ -115,7 +115,7 @@
                 await fleet.spend("a", str(n), 400)
                 await asyncio.sleep(0.3)
             ceiling = fleet.read().shares["a.1"].ceiling
-            self.assertLessEqual(allotter.balances.balances[POUNDS].spent, ceiling)
+            self.assertLessEqual(allotter.balances.by_name[POUNDS].spent, ceiling)
             self.assertLessEqual(fleet.count_spent(), 10_000)
 
         run_scenario(scenario)
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -20,7 +20,7 @@
         statuses = [(await self.call(f"/chat/{n}"))[0] for n in range(4)]
         # 100 prompt tokens and 6 events of 5 are 130; 135 are reserved.
         self.assertEqual(statuses, [200, 200, 402, 402])
-        balance = self.node.allotter.balances.balances["pounds"]
+        balance = self.node.allotter.balances.by_name["pounds"]
         self.assertEqual(balance.settled, 260)
 
     async def test_share_of_a_killed_router_is_counted_by_its_usage_record(self):
@@ -59,7 +59,7 @@
         await self.add_target("d1", "desk")
         await self.start_node()
         await self.call("/read/1")
-        self.assertEqual(self.node.allotter.balances.balances["pounds"].settled, 0)
+        self.assertEqual(self.node.allotter.balances.by_name["pounds"].settled, 0)
 
 
 class TargetsTest(GatewayCase):
--- a/tests/router/test_permits.py
+++ b/tests/router/test_permits.py
@@ -6,7 +6,7 @@
 
 from anvilshift.core.dispatcher import Dispatcher
 from anvilshift.core.errors import AnvilshiftError
-from anvilshift.core.membership import HeartbeatStatus, Member, MemberTable
+from anvilshift.core.membership import HeartbeatStatus, Member, Roster
 from anvilshift.core.work import DispatchSettings, LoadReport, Target, Work
 from anvilshift.peers.link import PeerError
 from anvilshift.router.dispatching import DispatchLoop
@@ -29,7 +29,7 @@
         self.dispatcher = Dispatcher(DispatchSettings(), random.Random(name))
         self.loop = DispatchLoop(self.dispatcher, fleet.clock)
         self.member = Member(name, f"{name}-1", name, name, name, "north")
-        self.members = MemberTable(5_000.0)
+        self.members = Roster(5_000.0)
         telemetry = Telemetry(exported=False)
         sources = PermitSources(
             self.member,
--- a/tests/router/test_treasury.py
+++ b/tests/router/test_treasury.py
@@ -291,7 +291,7 @@
     async def test_orphaned_grant_comes_back(self):
         """The grant of a router that died before its first record must be returned.
 
-        Such a router is in no member table.
+        Such a router is in no roster.
         """
         bank = Bank(routers=2, allowance=0)
         await bank.open()
--- a/tests/router/test_witnesses.py
+++ b/tests/router/test_witnesses.py
@@ -4,7 +4,7 @@
 
 from anvilshift.core.account import Bill
 from anvilshift.core.billcopies import BillCopies
-from anvilshift.core.membership import HeartbeatStatus, Member, MemberTable
+from anvilshift.core.membership import HeartbeatStatus, Member, Roster
 from anvilshift.peers.generated.peers_pb2 import KeepReply
 from anvilshift.peers.link import PeerError
 from anvilshift.router.billcopyholders import BillCopyHolders
@@ -29,7 +29,7 @@
         self.copies = {name: BillCopies(f"{name}-a") for name in NAMES}
 
     def make(self, name):
-        members = MemberTable(5_000.0)
+        members = Roster(5_000.0)
         for other in NAMES:
             if other != name:
                 members = members.record_heartbeat(
