--- a/anvilshift/core/loadmap.py
+++ b/anvilshift/core/loadmap.py
@@ -187,7 +187,7 @@
     meter
         Counts the requests sent to it recently.
     paused_until
-        When it accepts requests again, as it stated when it refused one.
+        When it accepts requests again, as it announced when it refused one.
     """
 
     info: TargetInfo
--- a/anvilshift/core/targetlimits.py
+++ b/anvilshift/core/targetlimits.py
@@ -1,6 +1,6 @@
-"""Apply the rate limits that targets state to waiting work.
+"""Apply the rate limits that targets announce to waiting work.
 
-Work is sent to a target that has stated a limit only with a permit.  For each such
+Work is sent to a target that has announced a limit only with a permit.  For each such
 target one router issues the permits for all routers.  A router requests a permit when
 work waits for the target and only the permit is missing.  A permit that isn't used
 at once expires.
@@ -39,7 +39,7 @@
 
 
 class TargetLimits:
-    """The rate limits that a router's targets have stated, and their permits."""
+    """The rate limits that a router's targets have announced, and their permits."""
 
     def __init__(self, state: DispatchState, sender: Sender) -> None:
         self._state = state
@@ -52,7 +52,7 @@
         Parameters
         ----------
         named
-            The limit in requests a second; None if the report states none.
+            The limit in requests a second; None if the report announces none.
         at
             When the target made the report.
         """
--- a/anvilshift/gateway/attempts.py
+++ b/anvilshift/gateway/attempts.py
@@ -156,9 +156,9 @@
     def _record_limit(
         self, outgoing: Outgoing, notes: AnswerFields, sent: Millis
     ) -> None:
-        """Record the rate limit or pause that a target states.
+        """Record the rate limit or pause that a target announces.
 
-        A signed answer without a limit withdraws the limit that was stated before.
+        A signed answer without a limit withdraws the limit that was announced before.
         """
         is_matching = (
             notes.identity in (None, outgoing.identity) and not notes.misdirected
--- a/anvilshift/gateway/border.py
+++ b/anvilshift/gateway/border.py
@@ -85,9 +85,9 @@
         Whether a different target than the expected one has the address.
     limit
         Requests a second that the target accepts from all routers together; None
-        if it states no limit, NaN if the stated limit can't be read.
+        if it announces no limit, NaN if the announced limit can't be read.
     pause
-        Time for which a target that refused accepts no request, if it states one.
+        Time for which a target that refused accepts no request, if it announces one.
     """
 
     identity: str | None
--- a/anvilshift/router/node.py
+++ b/anvilshift/router/node.py
@@ -382,9 +382,9 @@
 
     def _handle_load_report(self, report: LoadReport) -> None:
         self.permits.apply_report(report)
-        # Apply the rate limit before the health: a recovered target may name a limit
-        # in the same report, and the requests waiting for it are sent as soon as it
-        # counts as recovered.
+        # Apply the rate limit before the health: a recovered target may announce a
+        # limit in the same report, and the requests waiting for it are sent as soon
+        # as it counts as recovered.
         self.dispatcher.update_rate_limit(report)
         self.leaving_targets.apply_load_report(report)
         self.dispatch.act(self.dispatcher.load_report(report, self.clock.now()))
--- a/anvilshift/router/telemetry.py
+++ b/anvilshift/router/telemetry.py
@@ -114,7 +114,7 @@
         self._permits.add(1, {"target": target, "outcome": outcome})
 
     def record_limit(self, target: str, rate: float) -> None:
-        """Set the rate limit named by a target, in requests per second; 0 for none."""
+        """Set the limit that a target announces, in requests per second; 0 for none."""
         self._limits.set(rate, {"target": target})
 
     def render(self) -> bytes:
--- a/bench/soak/limits.py
+++ b/bench/soak/limits.py
@@ -1,4 +1,4 @@
-"""Rate limits that engines report, and checks that routers keep to them."""
+"""Rate limits that engines announce, and checks that routers keep to them."""
 
 import asyncio
 import random
@@ -29,9 +29,9 @@
     Attributes
     ----------
     lowered_at
-        When the engine last reported a first limit or a lower one.
+        When the engine last announced a first limit or a lower one.
     first_reported_at
-        When the engine last began to report limits.
+        When the engine last began to announce limits.
     """
 
     rate: float | None = None
@@ -40,7 +40,7 @@
     arrivals: deque[Millis] = field(default_factory=deque)
 
     def set_rate(self, rate: float | None, now: Millis) -> None:
-        """Set the limit that the engine reports from now on; None for no limit."""
+        """Set the limit that the engine announces from now on; None for no limit."""
         lower = rate is not None and (self.rate is None or rate < self.rate)
         if rate is not None and self.rate is None:
             self.first_reported_at = now
@@ -68,7 +68,7 @@
 
 
 class LimitFaults:
-    """Make engines report rate limits at random times, alongside other faults."""
+    """Make engines announce rate limits at random times, alongside other faults."""
 
     def __init__(self, soak: "Soak", rng: random.Random) -> None:
         self._soak = soak
@@ -83,7 +83,7 @@
             await asyncio.ensure_future(record.run(self.limit_one()))
 
     async def limit_one(self) -> None:
-        """Make one engine report a limit, change it up to twice, and end it."""
+        """Make one engine announce a limit, change it up to twice, and end it."""
         soak, rng = self._soak, self._rng
         engine = soak.engines[rng.choice(sorted(soak.engines))]
         soak.journal.faults["name_limit"] += 1
--- a/tests/bench/test_limits.py
+++ b/tests/bench/test_limits.py
@@ -1,4 +1,4 @@
-"""Which requests the soak counts against an engine's reported limit."""
+"""Which requests the soak counts against an engine's announced limit."""
 
 import unittest
 
--- a/tests/router/test_permits.py
+++ b/tests/router/test_permits.py
@@ -1,4 +1,4 @@
-"""Tests that routers together keep to the rate limits that engines report."""
+"""Tests that routers together keep to the rate limits that engines announce."""
 
 import asyncio
 import random
@@ -84,7 +84,7 @@
     Attributes
     ----------
     rates
-        Limit that each engine reports, in requests per second; None for no limit.
+        Limit that each engine announces, in requests per second; None for no limit.
     cut
         Names of the routers that are cut off from the others.
     """
--- a/tests/router/test_returning.py
+++ b/tests/router/test_returning.py
@@ -1,4 +1,4 @@
-"""Tests of an engine that returns and reports a limit in the same load report."""
+"""Tests of an engine that returns and announces a limit in the same load report."""
 
 import asyncio
 import unittest
