--- a/anvilshift/router/__init__.py
+++ b/anvilshift/router/__init__.py
@@ -1,1 +1,1 @@
-"""Run the router daemon: sockets and timers round the core."""
+"""The router daemon: adds sockets, timers and storage to the core."""
--- a/anvilshift/router/answers.py
+++ b/anvilshift/router/answers.py
@@ -1,4 +1,4 @@
-"""Write runs to callers: server-sent events, or one JSON object."""
+"""Send answers to callers, as server-sent events or as one JSON object."""
 
 import asyncio
 import contextlib
@@ -17,11 +17,11 @@
 REQUEST_HEADER = "anvilshift-request"
 
 
-def _head(job: Job) -> Fields:
+def _make_headers(job: Job) -> Fields:
     return [(REQUEST_HEADER, job.key)]
 
 
-def _usage(run: Run) -> dict[str, int]:
+def _make_usage(run: Run) -> dict[str, int]:
     usage = run.usage
     prompt, answer = (usage.prompt, usage.answer) if usage else (0, 0)
     return {
@@ -32,7 +32,7 @@
 
 
 def make_completion(run: Run) -> dict[str, Any]:
-    """Return a whole answer as a chat completion."""
+    """Return a complete answer as a chat completion object."""
     message = {"role": "assistant", "content": run.text.whole()}
     choice = {"index": 0, "message": message, "finish_reason": run.finish}
     return {
@@ -40,12 +40,15 @@
         "object": "chat.completion",
         "model": run.job.route.name,
         "choices": [choice],
-        "usage": _usage(run),
+        "usage": _make_usage(run),
     }
 
 
 class _ChunkEncoder:
-    """Encode the pieces of one answer; what they share is encoded once."""
+    """Encode the chunks of one answer.
+
+    The fields that all chunks share are encoded only once.
+    """
 
     def __init__(self, job: Job) -> None:
         shared = {
@@ -53,23 +56,23 @@
             "object": "chat.completion.chunk",
             "model": job.route.name,
         }
-        self._head = f"{json.dumps(shared)[:-1]}, "
+        self._prefix = f"{json.dumps(shared)[:-1]}, "
 
     def encode(self, text: str, identity: str) -> bytes:
-        """Return a piece as an event with an id to resume from."""
+        """Return a chunk as an event whose id allows the caller to resume."""
         choice = f'{{"index": 0, "delta": {{"content": {json.dumps(text)}}}'
-        data = f'{self._head}"choices": [{choice}, "finish_reason": null}}]}}'
+        data = f'{self._prefix}"choices": [{choice}, "finish_reason": null}}]}}'
         return Event(data, identity).encode()
 
 
-def _encode_last(run: Run) -> bytes:
+def _encode_final_events(run: Run) -> bytes:
     choice = {"index": 0, "delta": {}, "finish_reason": run.finish}
     chunk = {
         "id": run.job.key,
         "object": "chat.completion.chunk",
         "model": run.job.route.name,
         "choices": [choice],
-        "usage": _usage(run),
+        "usage": _make_usage(run),
     }
     return Event(json.dumps(chunk)).encode() + Event("[DONE]").encode()
 
@@ -80,16 +83,17 @@
     responder: Responder,
     recorded: asyncio.Future[Answer] | None = None,
 ) -> None:
-    """Write a run as events whose ids name it and count the characters so far.
+    """Stream a run as events; each id holds the run's tag and the character offset.
 
-    The head is sent with the first text, so that a refusal still has its own
-    status; an error after that is an event, and the stream ends without its
-    end mark.
+    The response headers are sent together with the first text, so that a request
+    that is refused before gets an HTTP status of its own. A later error is sent as
+    an event, and the stream then ends without its `[DONE]` event.
 
     Parameters
     ----------
     recorded
-        The outcome of claimed work; the end mark waits until it is recorded.
+        The outcome of claimed work. The `[DONE]` event is sent only after the
+        outcome has been recorded.
     """
     offset = job.resume_from
     encoder = _ChunkEncoder(job)
@@ -98,7 +102,7 @@
             async for text in texts:
                 if not responder.started:
                     await responder.start(
-                        200, [EVENT_STREAM_TYPE, *_head(job)], hold=True
+                        200, [EVENT_STREAM_TYPE, *_make_headers(job)], hold=True
                     )
                 offset += len(text)
                 chunk = encoder.encode(text, f"{run.tag}-{offset}")
@@ -106,21 +110,24 @@
         if recorded is not None:
             await recorded
     except AnvilshiftError as failure:
-        error = await _find_error(failure, recorded)
+        error = await _select_error(failure, recorded)
         if not responder.started:
             raise error from failure
         await responder.write(Event(render_error(error).body.decode()).encode())
         await responder.finish()
         return
     if not responder.started:
-        await responder.start(200, [EVENT_STREAM_TYPE, *_head(job)], hold=True)
-    await responder.finish(_encode_last(run))
+        await responder.start(200, [EVENT_STREAM_TYPE, *_make_headers(job)], hold=True)
+    await responder.finish(_encode_final_events(run))
 
 
-async def _find_error(
+async def _select_error(
     failure: AnvilshiftError, recorded: asyncio.Future[Answer] | None
 ) -> AnvilshiftError:
-    """Return what the caller hears; of claimed work, what its claim says."""
+    """Return the error to send to the caller.
+
+    For claimed work this is the error that its claim ends with, if any.
+    """
     if recorded is None:
         return failure
     try:
@@ -131,7 +138,7 @@
 
 
 async def read_whole(run: Run) -> Answer:
-    """Wait for a run and return its whole answer."""
+    """Wait until a run ends and return its complete answer."""
     async with contextlib.aclosing(run.read(len(run.text))) as texts:
         async for _ in texts:
             pass
@@ -140,19 +147,26 @@
 
 
 async def write_answer(answer: Answer, job: Job, responder: Responder) -> None:
-    """Write a whole answer in the form that the caller asked for."""
-    headers = [("content-type", answer.content_type), *_head(job)]
+    """Send a complete answer, as a stream or an object as the caller requested.
+
+    Raises
+    ------
+    AnvilshiftError
+        If the recorded answer doesn't start with the text that a resuming caller
+        has received.
+    """
+    headers = [("content-type", answer.content_type), *_make_headers(job)]
     if not job.stream:
         await responder.send(Reply(answer.status, headers, answer.body.encode()))
         return
     completion = json.loads(answer.body)
     text = completion["choices"][0]["message"]["content"]
     if not text.startswith(job.received):
-        detail = "the recorded answer doesn't begin with what was received"
+        detail = "the recorded answer doesn't start with anvilshift.received"
         raise AnvilshiftError(NOT_RECORDED, detail)
-    await responder.start(200, [EVENT_STREAM_TYPE, *_head(job)], hold=True)
-    rest = text[job.resume_from :]
-    await responder.write(_ChunkEncoder(job).encode(rest, str(len(text))))
+    await responder.start(200, [EVENT_STREAM_TYPE, *_make_headers(job)], hold=True)
+    remaining = text[job.resume_from :]
+    await responder.write(_ChunkEncoder(job).encode(remaining, str(len(text))))
     choice = {"index": 0, "delta": {}, "finish_reason": "stop"}
     last = {"choices": [choice], "usage": completion["usage"]}
     await responder.write(Event(json.dumps(last)).encode())
--- a/anvilshift/router/callers.py
+++ b/anvilshift/router/callers.py
@@ -1,4 +1,4 @@
-"""The caller's port: chat completions, plain services, address lookup."""
+"""Serve callers: chat completions, plain services and address lookup."""
 
 import asyncio
 from collections.abc import Callable
@@ -32,18 +32,18 @@
 CHAT_PATH = "/v1/chat/completions"
 ADDRESSES_PATH = "/v1/addresses"
 SERVICES_PATH = "/services/"
-_RETRY_ELSEWHERE: Millis = 200.0
+_RETRY_ELSEWHERE_AFTER: Millis = 200.0
 
 
 class CallerPort:
-    """Answer callers.
+    """Handle callers' HTTP requests.
 
     Parameters
     ----------
     ready
-        Tells whether this router may serve.
+        Returns whether this router may take new work.
     addresses
-        Returns the addresses that a caller shall use, as JSON.
+        Returns the addresses that a caller should use, as a JSON object.
     """
 
     def __init__(
@@ -58,56 +58,63 @@
         self.claimed = ClaimedRuns(claims, shared.clock)
         self.refusing = False
         self.calls = 0
-        self._open: dict[asyncio.Task[None] | None, Job] = {}
+        self._open_jobs: dict[asyncio.Task[None] | None, Job] = {}
         self._shared = shared
         self._gate = gate
-        self._ready = ready
-        self._addresses = addresses
+        self._is_ready = ready
+        self._list_addresses = addresses
 
     @property
     def in_flight(self) -> int:
-        """Return how many requests have not ended."""
+        """Return the number of requests, runs and claims that have not ended."""
         return self.runs.in_flight + self.calls + self.claimed.in_flight
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
-        """Answer one request."""
-        if not self._ready():
-            raise AnvilshiftError(NOT_READY, "", _RETRY_ELSEWHERE)
+        """Handle one HTTP request.
+
+        Raises
+        ------
+        AnvilshiftError
+            If the request is refused or fails before its response has started.
+        """
+        if not self._is_ready():
+            raise AnvilshiftError(NOT_READY, "", _RETRY_ELSEWHERE_AFTER)
         organisation = self._gate.authenticate(request)
         if request.path == ADDRESSES_PATH and request.method == "GET":
-            body = dump_json(self._addresses())
+            body = dump_json(self._list_addresses())
             await responder.send(Reply(200, [JSON_TYPE], body))
             return
         self.calls += 1
         try:
             if request.path == CHAT_PATH and request.method == "POST":
-                await self._chat(request, organisation, responder)
+                await self._handle_chat(request, organisation, responder)
             elif request.path.startswith(SERVICES_PATH):
-                await self._service(request, organisation, responder)
+                await self._handle_service_call(request, organisation, responder)
             else:
-                raise AnvilshiftError(UNKNOWN_ROUTE, "no such path")
+                raise AnvilshiftError(UNKNOWN_ROUTE, "unknown path")
         finally:
             self.calls -= 1
-            self._open.pop(asyncio.current_task(), None)
+            self._open_jobs.pop(asyncio.current_task(), None)
 
     def _admit(self, job: Job) -> None:
-        """Refuse new work of a planned stop; what runs here may be read on.
+        """Refuse new work in a planned stop, except repeats of work under way here.
 
-        A caller whose connection broke repeats its key.  Told *not run* while
-        its order runs at this very router, it could place the order anew.
+        A caller whose connection broke repeats its key. If it were told *not run*
+        while its order still runs at this router, it could place the order a second
+        time.
         """
         if self.refusing and not self.claimed.has(job) and not self.runs.has(job):
-            raise AnvilshiftError(DRAINING, "", _RETRY_ELSEWHERE)
-        self._open[asyncio.current_task()] = job
+            raise AnvilshiftError(DRAINING, "", _RETRY_ELSEWHERE_AFTER)
+        self._open_jobs[asyncio.current_task()] = job
 
     def list_open(self) -> list[tuple[str, str]]:
-        """Return id and organisation of each request that has not ended."""
-        jobs = {job.identity: job for job in self._open.values()}
+        """Return the id and organisation of each request that has not ended."""
+        jobs = {job.identity: job for job in self._open_jobs.values()}
         running = [*self.runs.list_jobs(), *self.claimed.list_jobs()]
         jobs |= {job.identity: job for job in running}
         return [(job.identity, job.organisation.name) for job in jobs.values()]
 
-    async def _chat(
+    async def _handle_chat(
         self, request: HttpRequest, organisation: Organisation, responder: Responder
     ) -> None:
         now = self._shared.clock.now()
@@ -115,7 +122,7 @@
         job = read_chat(request, organisation, routes, now)
         self._admit(job)
         if job.non_idempotent:
-            await self._chat_once(job, responder)
+            await self._handle_claimed_chat(job, responder)
             return
         run = self.runs.join(job, self._gate.make_work(job))
         if job.stream:
@@ -123,9 +130,12 @@
         else:
             await write_answer(await read_whole(run), job, responder)
 
-    async def _chat_once(self, job: Job, responder: Responder) -> None:
-        """Answer claimed work; a stream shows its text while it is made."""
-        claimed = self.claimed.run(job, lambda: self._run_model(job))
+    async def _handle_claimed_chat(self, job: Job, responder: Responder) -> None:
+        """Handle a non-idempotent chat request, which runs under a claim.
+
+        A streaming caller gets the text as it is generated.
+        """
+        claimed = self.claimed.run(job, lambda: self._run_chat(job))
         outcome = asyncio.ensure_future(claimed)
         running = asyncio.ensure_future(self.runs.find_claimed(job.identity))
         try:
@@ -138,24 +148,25 @@
             else:
                 await write_answer(await outcome, job, responder)
         finally:
-            # Only this caller stops waiting; the work goes on to its record.
+            # This cancels only the waiting; the work continues until its outcome is
+            # recorded.
             running.cancel()
             outcome.cancel()
 
-    async def _run_model(self, job: Job) -> Answer:
+    async def _run_chat(self, job: Job) -> Answer:
         return await read_whole(self.runs.join(job, self._gate.make_work(job)))
 
-    async def _service(
+    async def _handle_service_call(
         self, request: HttpRequest, organisation: Organisation, responder: Responder
     ) -> None:
-        name, _, rest = request.target.removeprefix(SERVICES_PATH).partition("/")
+        name, _, subpath = request.target.removeprefix(SERVICES_PATH).partition("/")
         route = self._gate.find_route(name)
         if route is None or route.kind is not TargetKind.SERVICE:
-            raise AnvilshiftError(UNKNOWN_ROUTE, "no such service")
+            raise AnvilshiftError(UNKNOWN_ROUTE, "unknown service")
         now = self._shared.clock.now()
-        job = read_service_call(request, organisation, route, rest, now)
+        job = read_service_call(request, organisation, route, subpath, now)
         self._admit(job)
-        call = ServiceCall(self._shared, job, request, f"/{rest}")
+        call = ServiceCall(self._shared, job, request, f"/{subpath}")
         work = self._gate.make_work(job)
         if job.non_idempotent:
             answer = await self.claimed.run(job, lambda: call.run(work))
--- a/anvilshift/router/daemon.py
+++ b/anvilshift/router/daemon.py
@@ -1,4 +1,4 @@
-"""The router process: sockets and signals round a node."""
+"""The router process: a node with its sockets and signal handlers."""
 
 import asyncio
 import gc
@@ -19,17 +19,19 @@
 from anvilshift.wire.server import HttpServer
 
 _GC_THRESHOLDS = (20_000, 20, 20)
-"""New objects before a young collection, and young ones before each older: a
-request makes some hundred objects in cycles with its task, so that a router at
-100 requests a second runs a full collection every few minutes."""
+"""Thresholds of the three generations: new objects before a young collection, and
+collections of one generation before the next older one is collected. A request
+creates about a hundred objects in reference cycles with its task, so that a router at
+100 requests per second runs a full collection every few minutes."""
 
 
-def _settle_collector() -> None:
-    """Keep the garbage collector from stopping the loop for long.
+def _configure_garbage_collector() -> None:
+    """Prevent long pauses of the event loop due to garbage collection.
 
-    A full collection walks every object while streams wait: tokens of all
-    callers came 30 to 60 ms late several times a minute.  What is alive at the
-    start (modules, models, instruments) lives to the end and needs no walk.
+    A full collection traverses every object while all streams wait. With the
+    default settings the tokens of all callers were 30 to 60 ms late several times a
+    minute. Objects that exist at the start (modules, models, instruments) live until
+    the process exits, so they are excluded from collection.
     """
     gc.collect()
     gc.freeze()
@@ -37,7 +39,7 @@
 
 
 class Router:
-    """One router process."""
+    """The router process: a node, its servers and its planned stop."""
 
     def __init__(self, settings: RouterSettings) -> None:
         self.settings = settings
@@ -54,47 +56,50 @@
         )
         self.node = Node(settings, world)
         self._caller_server = HttpServer(self.node.callers.handle, settings.limits)
-        operations = OperatorPort(
+        operator_port = OperatorPort(
             world.telemetry,
             settings.operator_credential,
             self.node.is_ready,
             self.node.describe,
             self.begin_stop,
         )
-        self._operator_server = HttpServer(operations.handle)
+        self._operator_server = HttpServer(operator_port.handle)
         self._peer_server = PeerServer(self.node.fleet)
-        self._stopping = asyncio.Event()
+        self._stop_requested = asyncio.Event()
         self._abandoned = asyncio.Event()
 
     def begin_stop(self) -> None:
-        """Begin a planned stop; a second call ends it at once."""
-        if self._stopping.is_set():
+        """Begin a planned stop; a second call ends it immediately."""
+        if self._stop_requested.is_set():
             self._abandoned.set()
-        self._stopping.set()
+        self._stop_requested.set()
 
     async def run(self) -> int:
-        """Serve until a planned stop; return the exit code."""
+        """Serve until a planned stop has ended; return the exit code.
+
+        It is 0 if no request was cut off and all bills and grants were settled.
+        """
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.begin_stop)
         await self.start()
-        await self._stopping.wait()
+        await self._stop_requested.wait()
         cut_off = await self.node.drain(self._abandoned)
         await self.close()
         return 0 if not cut_off and self.node.settled else 1
 
     async def start(self) -> None:
-        """Listen and begin every background task."""
+        """Start the servers and every background task."""
         settings = self.settings
         await self._operator_server.start(settings.operator_listen)
         await self._peer_server.start(settings.peer_listen)
         self.node.start()
         await self._caller_server.start(settings.listen)
-        _settle_collector()
-        logging.info("router listens address=%s", settings.listen)
+        _configure_garbage_collector()
+        logging.info("router is listening address=%s", settings.listen)
 
     async def close(self) -> None:
-        """Settle grants and stop every part."""
+        """Stop listening, settle the grants and close the servers and connections."""
         self._caller_server.stop_listening()
         await self.node.close()
         self._peer_server.close()
--- a/anvilshift/router/hooks.py
+++ b/anvilshift/router/hooks.py
@@ -1,4 +1,4 @@
-"""What a treasury asks of the rest of its router."""
+"""Callbacks through which a treasury uses other components of its router."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -6,32 +6,37 @@
 from anvilshift.core.escrow import Bills
 
 KeepCopies = Callable[[str, Bills, str], Awaitable[bool]]
-"""Leaves copies of a holder's bills with routers other than its witness, named last;
-False if none took them."""
+"""Sends copies of a holder's bills to routers other than its witness.
+
+Called with the holder, the bills and the witness; returns False if no router accepted
+them."""
 KeepWitnessed = Callable[[str, str, Bills], Awaitable[bool]]
-"""Leaves copies with one router, named first; True once it has them."""
+"""Sends copies of a holder's bills to one witness.
+
+Called with the witness, the holder and the bills; returns True once the witness has
+them."""
 AskPeers = Callable[[str], Awaitable[None]]
-"""Asks other routers to give unused tokens of a budget back."""
+"""Asks the other routers to give back unused tokens of a budget."""
 
 
-async def _keep_nothing(holder: str, bills: Bills, witness: str) -> bool:
+async def _decline_copies(holder: str, bills: Bills, witness: str) -> bool:
     return False
 
 
-async def _reach_no_witness(witness: str, holder: str, bills: Bills) -> bool:
+async def _decline_witnessed_copies(witness: str, holder: str, bills: Bills) -> bool:
     return False
 
 
-async def _ask_nobody(account: str) -> None:
+async def _skip_asking(account: str) -> None:
     return None
 
 
 @dataclass
 class Hooks:
-    """What a treasury asks of the rest of its router."""
+    """Callbacks of a treasury; the defaults act as if no other router existed."""
 
-    keep_copies: KeepCopies = _keep_nothing
-    keep_witnessed: KeepWitnessed = _reach_no_witness
+    keep_copies: KeepCopies = _decline_copies
+    keep_witnessed: KeepWitnessed = _decline_witnessed_copies
     choose_witness: Callable[[str], str] = lambda current: ""
-    ask_peers: AskPeers = _ask_nobody
+    ask_peers: AskPeers = _skip_asking
     count_event: Callable[[str], None] = lambda event: None
--- a/anvilshift/router/messages.py
+++ b/anvilshift/router/messages.py
@@ -1,4 +1,4 @@
-"""Turn messages between routers into the core's types, and back."""
+"""Convert between the routers' peer messages and the core's types."""
 
 from collections.abc import Iterable
 
@@ -20,7 +20,7 @@
     leaving_targets: Iterable[str],
     crashes: Iterable[Crash],
 ) -> Heartbeat:
-    """Return a router's heartbeat."""
+    """Return the heartbeat message of a router."""
     return Heartbeat(
         router=member.name,
         incarnation=member.incarnation,
@@ -43,7 +43,7 @@
 
 
 def read_member(beat: Heartbeat) -> Member:
-    """Return the member that a heartbeat is from."""
+    """Return the member that sent a heartbeat."""
     return Member(
         beat.router,
         beat.incarnation,
@@ -60,15 +60,15 @@
 
 
 def read_vitals(beat: Heartbeat) -> Vitals:
-    """Return what a router says of itself at a heartbeat."""
+    """Return the status that a router reports about itself in a heartbeat."""
     return Vitals(
         beat.reaches_platform, beat.renewing_for_ms, beat.serving, beat.in_flight
     )
 
 
 def make_keep_request(holder: str, bills: Bills, witness: str = "") -> KeepRequest:
-    """Return the request to keep copies of a holder's bills."""
-    pending = [
+    """Return the message that asks a router to keep copies of a holder's bills."""
+    pending_bills = [
         PendingBill(
             account=account,
             key=bill.key,
@@ -78,11 +78,17 @@
         )
         for account, bill in bills
     ]
-    return KeepRequest(holder=holder, bills=pending, witness=witness)
+    return KeepRequest(holder=holder, bills=pending_bills, witness=witness)
 
 
 def read_bills(request: KeepRequest, wall: int) -> Bills:
-    """Return the bills that a router is asked to keep copies of."""
+    """Return the bills in a request to keep copies.
+
+    Parameters
+    ----------
+    wall
+        Wall-clock seconds to set as the time when the bills were made.
+    """
     return tuple(
         (
             item.account,
--- a/anvilshift/router/node.py
+++ b/anvilshift/router/node.py
@@ -1,6 +1,6 @@
-"""One router without its sockets: the parts, joined and started in order.
+"""One router without its sockets: creates, connects and starts its components.
 
-The daemon puts sockets and signals round it; a seeded run puts fakes there.
+The daemon adds sockets and signal handlers; seeded test runs pass in fakes instead.
 """
 
 import asyncio
@@ -41,34 +41,34 @@
 
 __all__ = ["Node", "World"]
 
-_RECALL_PAUSE: Millis = 500.0
+_QUARANTINE_RETRY_INTERVAL: Millis = 500.0
 
 
 class Node:
-    """One router with all its parts but the sockets."""
+    """One router with all its components except the sockets."""
 
     def __init__(self, settings: RouterSettings, world: World) -> None:
         self.settings = settings
         self.world = world
         self.clock = world.clock
-        direct = PacedStore(
+        direct_store = PacedStore(
             world.store, world.clock, settings.platform_rate, settings.platform_burst
         )
         self.store = RelayedStore(
-            direct, world.link, world.clock, lambda: self.fleet.list_relays()
+            direct_store, world.link, world.clock, lambda: self.fleet.list_relays()
         )
         self.incarnation = f"{settings.name}-{make_identity(world.rng)[:12]}"
         self.treasury = Treasury(
             self.store, world.clock, self.incarnation, settings.commit_spacing
         )
         self.treasury.hooks.count_event = world.telemetry.count_event
-        figures = DispatchSettings(
+        dispatch_settings = DispatchSettings(
             settings.failure_domain, settings.queue_length, settings.attempts, asks=True
         )
-        self.dispatcher = Dispatcher(figures, world.rng)
+        self.dispatcher = Dispatcher(dispatch_settings, world.rng)
         self.dispatch = DispatchLoop(self.dispatcher, world.clock)
         self.targets = Targets(world.connector, world.clock)
-        self.departing = Departing(self._tell_dispatcher, world.clock)
+        self.departing = Departing(self._set_target_leaving, world.clock)
         self.gate = Gate()
         self.callers = self._make_caller_port()
         self.fleet = Fleet(
@@ -80,15 +80,15 @@
             settings.lease,
             settings.heartbeat,
             lambda: self.callers.in_flight,
-            direct,
+            direct_store,
         )
         self.follower = Follower(
-            self.store, self._configure, self.fleet.take_router, world.rng
+            self.store, self._apply_catalogue, self.fleet.take_router, world.rng
         )
         self.orders = Orders(
             self.store, world.clock, self.fleet, lambda name: self.targets.engine(name)
         )
-        self.crashes = CrashNews(world.clock, self._take_crash, self.fleet.beat_all)
+        self.crashes = CrashNews(world.clock, self._record_crash, self.fleet.beat_all)
         self.quarantined = QuarantineRecords(self.store, world.clock)
         sources = PermitSources(
             self.fleet.member,
@@ -110,16 +110,16 @@
         )
         self.fleet.relocate = self.relocating.take
         self.dispatch.relocate = self.relocating.ask
-        self.dispatch.announce = self._announce
+        self.dispatch.announce = self._announce_crash
         self.dispatcher.renew = self.gate.renew
-        self.crashes.take_other = self._take_other_crash
+        self.crashes.take_other = self._record_further_crash
         self.fleet.tell_crashes = self.crashes.list_told
         self.fleet.hear_crashes = self.crashes.hear
         self.fleet.greet = self.crashes.greet
         self.crashes.list_standing = lambda: self.dispatcher.list_crashes(
             self.clock.now()
         )
-        self.fleet.at_beat = self._count_routers
+        self.fleet.at_beat = self._update_fleet_state
         self.fleet.at_roster = lambda: self.dispatcher.set_others(
             bool(self.fleet.roster.sightings)
         )
@@ -128,9 +128,9 @@
         self.fleet.read_revision = lambda: self.follower.acknowledged
         self.fleet.read_seen = lambda: self.follower.seen
         self.settled = False
-        self._routers = 1
-        self._broken = False
-        self._introduced = False
+        self._router_count = 1
+        self._task_failed = False
+        self._initialised = False
         self._tasks: list[asyncio.Task[None]] = []
 
     def _make_caller_port(self) -> CallerPort:
@@ -144,14 +144,14 @@
             world.telemetry,
         )
         self.claims = ClaimBook(
-            self.store, world.clock, self.incarnation, world.rng, self._lives
+            self.store, world.clock, self.incarnation, world.rng, self._is_alive
         )
         return CallerPort(
             shared, self.gate, self.claims, self.is_ready, self.list_addresses
         )
 
-    def _lives(self, incarnation: str) -> bool:
-        """Tell whether an incarnation is known to live."""
+    def _is_alive(self, incarnation: str) -> bool:
+        """Tell whether this router currently counts an incarnation as alive."""
         present = self.fleet.roster.present(self.clock.now())
         return any(s.member.incarnation == incarnation for s in present)
 
@@ -167,53 +167,66 @@
         )
 
     def is_ready(self) -> bool:
-        """Tell whether this router holds current declarations and its lease."""
-        return self._introduced and self.fleet.may_serve() and not self._broken
+        """Tell whether this router may take new work.
 
-    async def _introduce(self) -> None:
-        """Hear the platform and the other routers once before serving.
+        It has completed its initialisation, its lease permits serving, and none of
+        its background tasks has ended.
+        """
+        return self._initialised and self.fleet.may_serve() and not self._task_failed
+
+    async def _initialise(self) -> None:
+        """Read the platform's records and contact all routers once before serving.
 
-        A router that starts anew doesn't know what crashed targets lately;
-        what it served before the others told it could cost two more.
+        A router that has just started doesn't know which contents have crashed
+        targets recently. If it served such a content before the other routers
+        report it, the content could crash two more targets.
         """
         await self.follower.current.wait()
-        await self._recall()
+        await self._load_quarantine_records()
         await self.fleet.beat_all()
-        self._count_routers()
-        # One that is behind may still send a content to targets that are gone.
-        until = self.clock.now() + MOST_BEHIND
+        self._update_fleet_state()
+        # A router with an older revision may still send a content to targets that
+        # are no longer declared.
+        wait_until = self.clock.now() + MOST_BEHIND
         while self.fleet.find_common_revision() < self.fleet.member.since:
-            if self.clock.now() > until:
-                logging.warning("some router stays behind, serving beside it")
+            if self.clock.now() > wait_until:
+                logging.warning(
+                    "a router still has an older revision, serving nevertheless"
+                )
                 break
             await asyncio.sleep(self.settings.heartbeat / SECOND)
-        self._introduced = True
+        self._initialised = True
+
+    async def _load_quarantine_records(self) -> None:
+        """Load the platform's records of contents that crashed targets.
 
-    async def _recall(self) -> None:
-        """Take in what the platform keeps of contents that crashed targets."""
+        Retries until the platform answers.
+        """
         while True:
             try:
-                found = await self.quarantined.read()
+                records = await self.quarantined.read()
                 break
             except AnvilshiftError as error:
-                logging.warning("no quarantine records code=%d", error.code.number)
-                await asyncio.sleep(_RECALL_PAUSE / SECOND)
-        for news in found:
-            self.dispatcher.crashed(news.content, news.target, self.clock.now())
-
-    def _announce(self, news: Announce) -> None:
-        self.crashes.announce(news)
+                logging.warning(
+                    "cannot read the quarantine records code=%d", error.code.number
+                )
+                await asyncio.sleep(_QUARANTINE_RETRY_INTERVAL / SECOND)
+        for record in records:
+            self.dispatcher.crashed(record.content, record.target, self.clock.now())
+
+    def _announce_crash(self, crash: Announce) -> None:
+        self.crashes.announce(crash)
         logging.warning(
             "engine reached without an answer content=%s engine=%s blamed=%d",
-            news.content,
-            news.target,
-            news.times,
+            crash.content,
+            crash.target,
+            crash.times,
         )
-        targets = self.dispatcher.list_confined(news.content)
-        if targets and news.times:
-            self.quarantined.add(news.content, targets)
+        targets = self.dispatcher.list_confined(crash.content)
+        if targets and crash.times:
+            self.quarantined.add(crash.content, targets)
 
-    def _configure(self, catalogue: Catalogue) -> None:
+    def _apply_catalogue(self, catalogue: Catalogue) -> None:
         self.gate.configure(catalogue)
         self.targets.configure(catalogue)
         self.treasury.configure(dict(catalogue.budgets))
@@ -230,7 +243,7 @@
         logging.info("declarations in force revision=%d", catalogue.revision)
 
     def list_addresses(self) -> dict[str, object]:
-        """Return where callers shall connect, this router's domain first."""
+        """Return the routers' addresses for callers, this failure domain first."""
         entrances = [
             Entrance(
                 s.member.address,
@@ -241,12 +254,17 @@
             for s in self.fleet.roster.present(self.clock.now())
             if s.vitals.serving
         ]
-        own = self.fleet.member
+        own_member = self.fleet.member
         in_flight = self.callers.in_flight
         entrances.append(
-            Entrance(own.address, own.failure_domain, in_flight, own.leaving)
+            Entrance(
+                own_member.address,
+                own_member.failure_domain,
+                in_flight,
+                own_member.leaving,
+            )
         )
-        ordered = order_entrances(entrances, own.failure_domain, self.world.rng)
+        ordered = order_entrances(entrances, own_member.failure_domain, self.world.rng)
         addresses = [
             {"address": e.address, "failure_domain": e.failure_domain} for e in ordered
         ]
@@ -271,55 +289,60 @@
         }
 
     def start(self) -> None:
-        """Begin every background task."""
+        """Start every background task."""
         self.fleet.start()
         self.treasury.start()
         loop = asyncio.get_running_loop()
         polling = self.targets.poll(
-            self._take_report,
+            self._handle_load_report,
             lambda event: self.dispatch.act(
                 self.dispatcher.cache_event(event, self.clock.now())
             ),
             self.departing.take_refusal,
         )
-        leaving = self.departing.follow(self.store, self._name_routers, self.world.rng)
-        works = (
+        following = self.departing.follow(
+            self.store, self._list_router_names, self.world.rng
+        )
+        coroutines = (
             self.follower.run(),
             polling,
-            leaving,
+            following,
             self.orders.run(),
             self.claims.keep_sweeping(),
         )
-        for work in works:
-            task = loop.create_task(work)
-            task.add_done_callback(self._note_end)
+        for coroutine in coroutines:
+            task = loop.create_task(coroutine)
+            task.add_done_callback(self._handle_task_end)
             self._tasks.append(task)
-        self._tasks.append(loop.create_task(self._introduce()))
+        self._tasks.append(loop.create_task(self._initialise()))
         for task in self.fleet.tasks:
-            task.add_done_callback(self._note_end)
+            task.add_done_callback(self._handle_task_end)
 
-    def _note_end(self, task: asyncio.Task[None]) -> None:
-        """Take no new work once a part that must always run has ended.
+    def _handle_task_end(self, task: asyncio.Task[None]) -> None:
+        """Stop taking new work once a task that must always run has ended.
 
-        Without its watch, say, a router would serve on under old declarations
-        and look well; callers are better off elsewhere.
+        Without its watch on the platform, for example, a router would go on
+        serving under old declarations and still report that it is ready. Callers
+        are better served by another router.
         """
         if task.cancelled():
             return
-        logging.error("a part ended, no new work is taken", exc_info=task.exception())
-        self._broken = True
+        logging.error(
+            "a background task has ended, refusing new work", exc_info=task.exception()
+        )
+        self._task_failed = True
 
     async def drain(self, abandoned: asyncio.Event) -> int:
-        """Stop as planned; return how many requests were cut off.
+        """Run the planned stop; return how many requests were cut off.
 
         Parameters
         ----------
         abandoned
-            Set when the stop must end at once.
+            Event that is set when the stop must end at once.
         """
         steps = StopSteps(
-            self._leave,
-            self._refuse,
+            self._leave_fleet,
+            self._refuse_new_work,
             self.treasury.hand_back,
             lambda: self.callers.in_flight,
             self.callers.list_open,
@@ -333,16 +356,16 @@
             await self.fleet.witnesses.hand_on(self.treasury.copies)
         return cut_off
 
-    async def _leave(self) -> None:
+    async def _leave_fleet(self) -> None:
         await self.fleet.leave()
         with contextlib.suppress(AnvilshiftError):
             await self.orders.release()
 
-    def _refuse(self) -> None:
+    def _refuse_new_work(self) -> None:
         self.callers.refusing = True
 
     async def close(self) -> None:
-        """Settle grants and stop every task."""
+        """Record the bills, give the grants back and stop every task."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -355,40 +378,46 @@
         await self.fleet.close()
         self.store.close()
 
-    def _take_report(self, report: LoadReport) -> None:
+    def _handle_load_report(self, report: LoadReport) -> None:
         self.permits.note_report(report)
-        # A target that is back may name a limit in the same report: what waits for it
-        # is sent as soon as it counts as back.
+        # Apply the rate limit before the health: a recovered target may name a limit
+        # in the same report, and the requests waiting for it are sent as soon as it
+        # counts as recovered.
         self.dispatcher.learn_limit(report)
         self.departing.take_report(report)
         self.dispatch.act(self.dispatcher.load_report(report, self.clock.now()))
 
-    def _name_routers(self) -> set[str]:
+    def _list_router_names(self) -> set[str]:
         present = self.fleet.roster.present(self.clock.now())
         return {sighting.member.name for sighting in present}
 
-    def _take_crash(self, content: str, target: str, age: Millis) -> None:
+    def _record_crash(self, content: str, target: str, age: Millis) -> None:
         self.dispatcher.crashed(content, target, self.clock.now(), age)
 
-    def _take_other_crash(self, news: Announce) -> None:
+    def _record_further_crash(self, crash: Announce) -> None:
         now = self.clock.now()
-        self.dispatcher.crashed(news.content, news.target, now, times=news.times)
+        self.dispatcher.crashed(crash.content, crash.target, now, times=crash.times)
 
-    def _count_routers(self) -> None:
-        """Tell the dispatcher with how many routers it shares the targets."""
+    def _update_fleet_state(self) -> None:
+        """Update the dispatcher after a heartbeat.
+
+        It needs the number of routers that share the targets, whether the fleet
+        may be partitioned, and the revision that all routers have in force.
+        """
         self.permits.note_routers()
         self.relocating.note_routers()
-        # One that lost its lease and its record may yet serve behind a cut.
-        silent = self.fleet.is_partitioned() or self.permits.has_lost_routers()
-        self.dispatcher.set_partitioned(silent)
+        # A router that lost its lease and its record may still be serving on the
+        # other side of a network partition.
+        partitioned = self.fleet.is_partitioned() or self.permits.has_lost_routers()
+        self.dispatcher.set_partitioned(partitioned)
         common = self.fleet.find_common_revision()
         self.dispatch.act(self.dispatcher.agree(common, self.clock.now()))
         present = self.fleet.roster.present(self.clock.now())
         routers = 1 + sum(s.vitals.serving for s in present)
-        if routers != self._routers:
-            self._routers = routers
+        if routers != self._router_count:
+            self._router_count = routers
             self.dispatcher.set_routers(routers)
 
-    def _tell_dispatcher(self, target: str, leaving: bool) -> None:
+    def _set_target_leaving(self, target: str, leaving: bool) -> None:
         change = self.dispatcher.leaving if leaving else self.dispatcher.staying
         self.dispatch.act(change(target, self.clock.now()))
--- a/anvilshift/router/refusals.py
+++ b/anvilshift/router/refusals.py
@@ -1,4 +1,4 @@
-"""The errors of the money, each with when to come back."""
+"""Errors of budgets and bills, each with its retry delay."""
 
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.errors import (
@@ -9,18 +9,18 @@
 )
 
 RETRY_AFTER_UNREACHABLE: Millis = 1 * SECOND
-"""When a refused caller may come back while tokens are in other routers: about
-as long as an answer in flight there holds its reservation."""
+"""Retry delay for a refused caller while other routers hold the tokens: about as long
+as an answer in flight there holds its reservation."""
 RETRY_AFTER_EXHAUSTED: Millis = 30 * SECOND
 
 
 def make_unrecorded(detail: str) -> AnvilshiftError:
-    """Return the error of work that ran and whose bill isn't recorded."""
+    """Return the error for work that ran but whose bill could not be recorded."""
     return AnvilshiftError(NOT_RECORDED, detail, RETRY_AFTER_UNREACHABLE)
 
 
 def make_refusal(code: Code) -> AnvilshiftError:
-    """Return the error of a request that its budget can't pay now."""
-    spent = code is BUDGET_EXHAUSTED
-    retry = RETRY_AFTER_EXHAUSTED if spent else RETRY_AFTER_UNREACHABLE
-    return AnvilshiftError(code, "", retry)
+    """Return the error for a request that its budget can't currently pay for."""
+    exhausted = code is BUDGET_EXHAUSTED
+    retry_after = RETRY_AFTER_EXHAUSTED if exhausted else RETRY_AFTER_UNREACHABLE
+    return AnvilshiftError(code, "", retry_after)
--- a/anvilshift/router/requests.py
+++ b/anvilshift/router/requests.py
@@ -1,4 +1,4 @@
-"""Turn callers' HTTP requests into checked requests of the project's own."""
+"""Parse and validate callers' HTTP requests."""
 
 import hashlib
 import random
@@ -26,16 +26,16 @@
 NON_IDEMPOTENT_HEADER = "anvilshift-non-idempotent"
 RESUME_HEADER = "last-event-id"
 TEMPLATE_TOKENS = 64
-"""Most tokens that a model's template adds to the messages of a request."""
+"""Maximum tokens that a chat template adds to a request, besides those per message."""
 TOKENS_PER_MESSAGE = 8
 _DEFAULT_ANSWER_TOKENS = 256
 _MAX_ANSWER_TOKENS = 1_000_000
-_MAX_KEY = 200
-_MAX_EVENT_ID = 24
+_MAX_KEY_LENGTH = 200
+_MAX_EVENT_ID_LENGTH = 24
 _MAX_TIMEOUT: Millis = 600 * SECOND
-"""A request ends by then whatever it asks for; a bill's key is known as long."""
+"""Upper limit of every request's timeout; bill keys are kept for at least as long."""
 _MAX_MESSAGES = 10_000
-_PREFIX_BYTES = 1024
+_PREFIX_BLOCK_BYTES = 1024
 _MAX_PREFIXES = 32
 _RNG = random.SystemRandom()
 
@@ -52,7 +52,10 @@
 
 
 class _Chat(BaseModel):
-    """The part of a chat request that the router reads; the rest passes."""
+    """The fields of a chat request that the router reads.
+
+    All other fields are passed to the engine unchanged.
+    """
 
     model_config = ConfigDict(extra="allow", strict=True)
     model: str = Field(max_length=200)
@@ -67,23 +70,24 @@
 
 @dataclass(frozen=True)
 class Job:
-    """One request, checked, of a known organisation on a known route.
+    """One validated request of a known organisation on a known route.
 
     Parameters
     ----------
     key
-        The idempotency key, or a fresh id where the caller gave none.
+        The idempotency key, or a new random id if the caller sent none.
     identity
-        Digest of organisation and key: it names the request everywhere and
-        can't be another organisation's.
+        Digest of organisation and key. It identifies the request in every
+        component; two organisations never have the same one.
     content
-        Digest of what is to run, equal when it is sent again under a new key.
+        Digest of the work itself. It stays the same when the same work is sent
+        again under another key.
     bound
-        Most tokens that the request can cost.
+        Maximum number of tokens that the request can cost.
     resume_from
-        Characters of the answer that the caller has, when it resumes.
+        Number of characters of the answer that a resuming caller already has.
     resume_tag
-        The run that gave them, when the caller names it.
+        Tag of the run that produced those characters, if the caller names it.
     """
 
     organisation: Organisation
@@ -106,22 +110,27 @@
 
     @property
     def bound(self) -> int:
-        """Return the most tokens that the request can cost."""
+        """Return the maximum number of tokens that the request can cost."""
         return self.prompt_bound + self.answer_bound
 
     @property
     def bill_key(self) -> str:
-        """Return what names the request in the ledger.
+        """Return the key of the request's bill in the ledger.
 
-        It holds the content: a key that is sent again with another body is
-        another request, which would otherwise be served and never billed,
-        because its bill would count as the first one's, sent again.
+        It includes the content, because a key that is reused with another body is
+        another request. Without the content its bill would be taken for a
+        duplicate of the first one, and the request would be served without being
+        billed.
         """
         return digest(self.identity, self.content)
 
 
 def digest(*parts: str | bytes) -> str:
-    """Return a digest of parts that no other split of the same text can have."""
+    """Return a digest of parts.
+
+    Each part is prefixed with its length, so that another split of the same text
+    has another digest.
+    """
     hasher = hashlib.sha256()
     for part in parts:
         data = part.encode() if isinstance(part, str) else part
@@ -133,8 +142,8 @@
     key = request.headers.get(KEY_HEADER)
     if key is None:
         return None
-    if not 1 <= len(key) <= _MAX_KEY:
-        detail = f"{KEY_HEADER} must have 1 to {_MAX_KEY} characters"
+    if not 1 <= len(key) <= _MAX_KEY_LENGTH:
+        detail = f"{KEY_HEADER} must have 1 to {_MAX_KEY_LENGTH} characters"
         raise AnvilshiftError(BAD_VALUE, detail)
     return key
 
@@ -144,20 +153,20 @@
     if text is None:
         return min(route.timeout or _MAX_TIMEOUT, _MAX_TIMEOUT)
     try:
-        span = float(text)
+        timeout = float(text)
     except ValueError:
-        span = float("nan")
-    if not span < float("inf"):
+        timeout = float("nan")
+    if not timeout < float("inf"):
         detail = f"{DEADLINE_HEADER} must be a number of milliseconds"
         raise AnvilshiftError(BAD_VALUE, detail)
-    if span <= 0:
+    if timeout <= 0:
         raise AnvilshiftError(PAST_DEADLINE)
-    return min(span, route.timeout or _MAX_TIMEOUT, _MAX_TIMEOUT)
+    return min(timeout, route.timeout or _MAX_TIMEOUT, _MAX_TIMEOUT)
 
 
-def _read_mark(request: HttpRequest, route: Route) -> bool:
-    mark = request.headers.get(NON_IDEMPOTENT_HEADER)
-    return route.non_idempotent or (mark is not None and mark.lower() == "true")
+def _is_non_idempotent(request: HttpRequest, route: Route) -> bool:
+    value = request.headers.get(NON_IDEMPOTENT_HEADER)
+    return route.non_idempotent or (value is not None and value.lower() == "true")
 
 
 def _make_job(
@@ -165,10 +174,10 @@
     organisation: Organisation,
     route: Route,
     now: Millis,
-    **rest: Any,
+    **fields: Any,
 ) -> Job:
     key = _read_key(request)
-    non_idempotent = _read_mark(request, route)
+    non_idempotent = _is_non_idempotent(request, route)
     if non_idempotent and key is None:
         raise AnvilshiftError(KEY_REQUIRED)
     name = key or make_identity(_RNG)
@@ -181,12 +190,12 @@
         deadline=now + _read_timeout(request, route),
         arrived=now,
         non_idempotent=non_idempotent,
-        **rest,
+        **fields,
     )
 
 
 def read_model_name(request: HttpRequest) -> str:
-    """Return the model that a chat request names."""
+    """Return the name of the model in a chat request."""
     return _parse_chat(request).model
 
 
@@ -195,13 +204,16 @@
     try:
         return _Chat.model_validate(value)
     except ValidationError as error:
-        fault = error.errors()[0]
-        where = ".".join(str(part) for part in fault["loc"])
-        raise AnvilshiftError(BAD_VALUE, f"{where}: {fault['msg']}") from error
+        first_error = error.errors()[0]
+        field = ".".join(str(part) for part in first_error["loc"])
+        raise AnvilshiftError(BAD_VALUE, f"{field}: {first_error['msg']}") from error
 
 
 def digest_chat(body: dict[str, Any]) -> str:
-    """Return the digest of what a chat request asks to run."""
+    """Return the digest of a chat request's work.
+
+    It ignores `stream`, which changes only the form of the answer.
+    """
     return digest(dump_json({k: v for k, v in body.items() if k != "stream"}))
 
 
@@ -211,23 +223,25 @@
     routes: dict[str, Route],
     now: Millis,
 ) -> Job:
-    """Return the job that a chat request states.
+    """Parse a chat request into a job.
 
     Raises
     ------
     AnvilshiftError
-        A numbered code that says what is wrong.
+        With the numbered code of the first error that was found.
     """
     try:
-        return _read_checked(request, organisation, routes, now)
+        return _parse_job(request, organisation, routes, now)
     except RecursionError as error:
-        raise AnvilshiftError(MALFORMED, "the body is nested too deeply") from error
+        raise AnvilshiftError(
+            MALFORMED, "the JSON body is nested too deeply"
+        ) from error
     except UnicodeEncodeError as error:
-        detail = "a text holds half a surrogate pair"
+        detail = "a string contains an unpaired surrogate"
         raise AnvilshiftError(BAD_VALUE, detail) from error
 
 
-def _read_checked(
+def _parse_job(
     request: HttpRequest,
     organisation: Organisation,
     routes: dict[str, Route],
@@ -236,11 +250,11 @@
     chat = _parse_chat(request)
     route = routes.get(chat.model)
     if route is None or route.kind is not TargetKind.MODEL:
-        raise AnvilshiftError(UNKNOWN_ROUTE, "no such model")
+        raise AnvilshiftError(UNKNOWN_ROUTE, "unknown model")
     body = parse_object(request.body)
     body.pop("anvilshift", None)
-    # The newer name of the same limit: an engine that reads it must find the
-    # number that was reserved, or it would make more.
+    # `max_completion_tokens` is the newer name of the same limit. Engines that read
+    # it must find the number that is reserved, otherwise they could generate more.
     limit = chat.max_completion_tokens or chat.max_tokens
     body["max_tokens"] = limit
     if "max_completion_tokens" in body:
@@ -260,68 +274,75 @@
         received=received,
         resume_from=offset,
         resume_tag=tag,
-        prefixes=_cut_prefixes(chat),
+        prefixes=_digest_prefixes(chat),
     )
 
 
 def _bound_prompt(chat: _Chat) -> int:
-    """Return a bound on the prompt's tokens.
+    """Return an upper bound on the number of prompt tokens.
 
-    A token covers at least one byte of text, and the template adds a bounded
-    number for each message, so the prompt can't have more.  What else the
-    request holds, such as descriptions of tools, can become part of it too.
+    A token covers at least one byte of text, and the chat template adds a bounded
+    number of tokens for each message. Other fields of the request, such as tool
+    descriptions, can become part of the prompt and are counted as well.
     """
     extras = [chat.model_extra, *(message.model_extra for message in chat.messages)]
-    rest = sum(len(dump_json(extra)) for extra in extras if extra)
+    extra_bytes = sum(len(dump_json(extra)) for extra in extras if extra)
     texts = sum(len(m.content.encode()) + len(m.role) for m in chat.messages)
-    return texts + rest + TEMPLATE_TOKENS + TOKENS_PER_MESSAGE * len(chat.messages)
+    return (
+        texts + extra_bytes + TEMPLATE_TOKENS + TOKENS_PER_MESSAGE * len(chat.messages)
+    )
 
 
 def _read_resume(request: HttpRequest, received: str) -> tuple[str, int]:
-    """Return the run and the count of characters that a caller goes on from."""
+    """Return the tag of the run and the character offset to resume from."""
     text = request.headers.get(RESUME_HEADER)
     if text is None:
         return "", len(received)
     tag, _, count = text.rpartition("-")
-    if not (count.isascii() and count.isdecimal()) or len(text) > _MAX_EVENT_ID:
-        raise AnvilshiftError(BAD_VALUE, f"{RESUME_HEADER} is no id of an event")
+    if not (count.isascii() and count.isdecimal()) or len(text) > _MAX_EVENT_ID_LENGTH:
+        raise AnvilshiftError(BAD_VALUE, f"{RESUME_HEADER} is not a valid event id")
     if received and int(count) != len(received):
-        detail = f"{RESUME_HEADER} and anvilshift.received differ in length"
+        detail = f"{RESUME_HEADER} doesn't match the length of anvilshift.received"
         raise AnvilshiftError(BAD_VALUE, detail)
     return tag, int(count)
 
 
-def _cut_prefixes(chat: _Chat) -> tuple[str, ...]:
-    """Return digests of the prompt's leading blocks, for cache placement."""
+def _digest_prefixes(chat: _Chat) -> tuple[str, ...]:
+    """Return cumulative digests of the prompt's leading blocks.
+
+    They are used to place requests on engines that have the prefix cached.
+    """
     text = "\n".join(f"{m.role}:{m.content}" for m in chat.messages).encode()
     hasher = hashlib.sha256(chat.model.encode())
-    found = []
-    whole_blocks = min(_MAX_PREFIXES, len(text) // _PREFIX_BYTES)
+    digests = []
+    whole_blocks = min(_MAX_PREFIXES, len(text) // _PREFIX_BLOCK_BYTES)
     for index in range(whole_blocks):
-        hasher.update(text[index * _PREFIX_BYTES : (index + 1) * _PREFIX_BYTES])
-        found.append(hasher.hexdigest()[:16])
-    return tuple(found)
+        hasher.update(
+            text[index * _PREFIX_BLOCK_BYTES : (index + 1) * _PREFIX_BLOCK_BYTES]
+        )
+        digests.append(hasher.hexdigest()[:16])
+    return tuple(digests)
 
 
-def digest_call(route: str, method: str, rest: str, body: bytes) -> str:
-    """Return the digest of what a call of a plain service asks to run."""
-    return digest(route, method, rest, body)
+def digest_call(route: str, method: str, subpath: str, body: bytes) -> str:
+    """Return the digest of the work of a call to a plain service."""
+    return digest(route, method, subpath, body)
 
 
 def read_service_call(
     request: HttpRequest,
     organisation: Organisation,
     route: Route,
-    rest: str,
+    subpath: str,
     now: Millis,
 ) -> Job:
-    """Return the job that a call of a plain service states."""
+    """Parse a call to a plain service into a job."""
     return _make_job(
         request,
         organisation,
         route,
         now,
-        content=digest_call(route.name, request.method, rest, request.body),
+        content=digest_call(route.name, request.method, subpath, request.body),
         prompt_bound=route.cost,
         answer_bound=0,
     )
--- a/anvilshift/router/services.py
+++ b/anvilshift/router/services.py
@@ -1,4 +1,4 @@
-"""Pass calls through to plain services."""
+"""Forward calls to plain services."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 from anvilshift.router.runs import Shared
 from anvilshift.wire.messages import Fields, HttpRequest
 
-_DROPPED = {
+_HEADERS_NOT_FORWARDED = {
     "authorization",
     "connection",
     "content-length",
@@ -30,31 +30,31 @@
     "proxy-authorization",
 }
 _RNG = random.SystemRandom()
-_DEFAULT_TYPE = "application/octet-stream"
+_DEFAULT_CONTENT_TYPE = "application/octet-stream"
 
 
 class ServiceCall:
-    """One call of a plain service."""
+    """One call to a plain service, retried on other targets if an attempt fails."""
 
     def __init__(self, shared: Shared, job: Job, request: HttpRequest, path: str):
         self._progress = Progress()
-        # Two calls with one key can be under way at once; the dispatcher tells
-        # them apart, the budget bills them once.
-        self._turn = make_identity(_RNG)
+        # Two calls with the same key can run concurrently. The dispatcher needs a
+        # separate id for each; the budget bills them only once.
+        self._call_id = make_identity(_RNG)
         self._shared = shared
         self._job = job
         self._request = request
         self._path = path
 
     async def run(self, work: Work) -> Answer:
-        """Reserve, place, call and bill; return the whole answer.
+        """Reserve tokens, place and send the call, bill it and return its answer.
 
         Raises
         ------
         AnvilshiftError
-            A *not run* code only when the call provably never left.
+            Its code says *not run* only if the call was certainly never executed.
         """
-        work = replace(work, identity=self._turn)
+        work = replace(work, identity=self._call_id)
         error: AnvilshiftError | None = None
         try:
             return await self._run(work)
@@ -65,16 +65,16 @@
             error = self._progress.tell(cause)
             raise error from cause
         finally:
-            self._end(error)
+            self._finish(error)
 
     async def _run(self, work: Work) -> Answer:
         job, treasury = self._job, self._shared.treasury
         account = job.organisation.budget
-        span = (job.deadline - self._shared.clock.now()) / SECOND
-        async with asyncio.timeout(span):
+        timeout = (job.deadline - self._shared.clock.now()) / SECOND
+        async with asyncio.timeout(timeout):
             if job.bound:
                 await treasury.reserve(account, job.bill_key, job.bound)
-            answer = await self._attempt_until_answered(work)
+            answer = await self._call_with_retries(work)
             if job.bound:
                 await treasury.settle(
                     account,
@@ -85,15 +85,17 @@
                 )
             return answer
 
-    def _end(self, error: AnvilshiftError | None) -> None:
+    def _finish(self, error: AnvilshiftError | None) -> None:
         job, shared = self._job, self._shared
         shared.treasury.release(job.organisation.budget, job.bill_key)
-        shared.dispatch.cancel(self._turn)
-        name, kind = job.organisation.name, job.route.request_class
-        shared.telemetry.count_answer(name, kind, error.code if error else None)
-        span = shared.clock.now() - job.arrived
+        shared.dispatch.cancel(self._call_id)
+        name, request_class = job.organisation.name, job.route.request_class
+        shared.telemetry.count_answer(
+            name, request_class, error.code if error else None
+        )
+        latency = shared.clock.now() - job.arrived
         if error is None:
-            shared.telemetry.record_whole(name, kind, span)
+            shared.telemetry.record_whole(name, request_class, latency)
         logging.info(
             "call ended request=%s organisation=%s route=%s code=%d",
             job.identity,
@@ -102,46 +104,50 @@
             error.code.number if error else 0,
         )
 
-    async def _attempt_until_answered(self, work: Work) -> Answer:
+    async def _call_with_retries(self, work: Work) -> Answer:
         dispatch, job = self._shared.dispatch, self._job
         send = await dispatch.submit(work, lambda: None)
         while True:
             try:
                 sent_before = self._progress.sent
-                answer = await self._call(send)
+                answer = await self._send_call(send)
                 self._progress.ran = True
-                dispatch.done(self._turn, job.bound)
+                dispatch.done(self._call_id, job.bound)
                 return answer
             except TargetError as error:
                 failure = error.failure
                 if failure in NEVER_RAN:
                     self._progress.sent = sent_before
-            send = await dispatch.retry(self._turn, failure)
+            send = await dispatch.retry(self._call_id, failure)
 
-    async def _call(self, send: Send) -> Answer:
+    async def _send_call(self, send: Send) -> Answer:
         job = self._job
         service = self._shared.targets.service(send.target)
         if service is None:
-            raise TargetError(Failure.NOT_SENT, "the target is gone")
+            raise TargetError(Failure.NOT_SENT, "the target is no longer declared")
         timeout = job.deadline - self._shared.clock.now()
-        # Set before the first byte can leave: a call that is cut off in its
-        # midst by the deadline must not be told "not run".
+        # Set before the first byte is sent: a call that the deadline interrupts
+        # must not be reported as "not run".
         self._progress.sent = True
         answer = await service.call(
             self._request.method,
             self._path,
-            self._pass_headers(),
+            self._make_forwarded_headers(),
             self._request.body,
             timeout,
         )
-        kind = answer.headers.get("content-type") or _DEFAULT_TYPE
-        return Answer(answer.status, kind, answer.body.decode("latin-1"))
+        content_type = answer.headers.get("content-type") or _DEFAULT_CONTENT_TYPE
+        return Answer(answer.status, content_type, answer.body.decode("latin-1"))
 
-    def _pass_headers(self) -> Fields:
-        kept = [
+    def _make_forwarded_headers(self) -> Fields:
+        forwarded = [
             (name, value)
             for name, value in self._request.headers.pairs
-            if name not in _DROPPED and name != KEY_HEADER
+            if name not in _HEADERS_NOT_FORWARDED and name != KEY_HEADER
+        ]
+        # The key that the service gets includes the organisation, so that no other
+        # organisation can send the same one.
+        return [
+            *forwarded,
+            (KEY_HEADER, digest(self._job.organisation.name, self._job.key)),
         ]
-        # The service sees a key that no other organisation can present.
-        return [*kept, (KEY_HEADER, digest(self._job.organisation.name, self._job.key))]
--- a/anvilshift/router/stopping.py
+++ b/anvilshift/router/stopping.py
@@ -1,4 +1,8 @@
-"""Stop a router as planned: serve on, finish, settle, and say what was cut off."""
+"""Run the planned stop of a router.
+
+It keeps serving for a while, finishes open requests, settles its bills and grants, and
+logs the requests that were cut off.
+"""
 
 import asyncio
 import contextlib
@@ -10,24 +14,26 @@
 from anvilshift.core.clock import SECOND, Millis
 from anvilshift.core.errors import AnvilshiftError
 
-_IDLE_CHECK: Millis = 20.0
-_SETTLE_PAUSE: Millis = 200.0
+_IDLE_CHECK_INTERVAL: Millis = 20.0
+_SETTLE_RETRY_INTERVAL: Millis = 200.0
 
 
 @dataclass(frozen=True)
 class StopSteps:
-    """What a planned stop does to its router.
+    """Callbacks through which a planned stop controls its router.
 
     Parameters
     ----------
     leave
-        Tells the others, so that no caller is sent here any more.
+        Tells the other routers that this one leaves, so that address lookups no
+        longer return it.
     refuse
-        Turns new work away from now on.
+        Makes the router refuse new work from now on.
     settle
-        Records bills and gives grants back; False when it failed.
+        Records the bills and gives the grants back; returns False on failure.
     count_open
-        Returns how much is in flight, records of outcomes included.
+        Returns the number of operations in flight, including the recording of
+        outcomes.
     list_open
         Returns the requests in flight as pairs of id and organisation.
     """
@@ -45,11 +51,16 @@
     Parameters
     ----------
     keep
-        Milliseconds for which callers may keep this router's address.
+        Milliseconds for which callers may cache this router's address.
     grace
-        Most milliseconds until the stop ends, whatever is left.
+        Maximum milliseconds until the stop ends, even if requests are still open.
     abandoned
-        Set when the stop must end at once.
+        Event that is set when the stop must end at once.
+
+    Attributes
+    ----------
+    settled
+        Whether all bills have been recorded and all grants given back.
     """
 
     def __init__(
@@ -57,23 +68,25 @@
     ) -> None:
         self.settled = False
         self._steps = steps
-        self._keep = keep
+        self._keep_addresses = keep
         self._grace = grace
         self._abandoned = abandoned
 
     async def run(self) -> int:
-        """Stop; return how many requests were cut off."""
+        """Run all steps; return how many requests were cut off."""
         steps = self._steps
         logging.info("planned stop begins in_flight=%d", steps.count_open())
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._grace / SECOND):
-                await self._unless_abandoned(steps.leave())
-                # Callers keep an address for a stated time and are served for
-                # as long; only then is new work turned away.
-                await self._unless_abandoned(asyncio.sleep(self._keep / SECOND))
+                await self._run_unless_abandoned(steps.leave())
+                # Callers may cache an address for the configured time, so new work
+                # is refused only after that.
+                await self._run_unless_abandoned(
+                    asyncio.sleep(self._keep_addresses / SECOND)
+                )
                 steps.refuse()
-                await self._unless_abandoned(self._wait_idle())
-                await self._unless_abandoned(self._settle())
+                await self._run_unless_abandoned(self._wait_idle())
+                await self._run_unless_abandoned(self._settle())
         cut_off = steps.list_open()
         for request, organisation in cut_off:
             logging.error("cut off request=%s organisation=%s", request, organisation)
@@ -82,26 +95,28 @@
         logging.info("planned stop ends cut_off=%d", len(cut_off))
         return len(cut_off)
 
-    async def _unless_abandoned(self, step: Awaitable[None]) -> None:
-        """Take a step, and leave it as soon as the stop is abandoned."""
-        doing = asyncio.ensure_future(step)
-        leaving = asyncio.ensure_future(self._abandoned.wait())
+    async def _run_unless_abandoned(self, step: Awaitable[None]) -> None:
+        """Run a step; cancel it as soon as the stop is abandoned."""
+        running = asyncio.ensure_future(step)
+        abandoning = asyncio.ensure_future(self._abandoned.wait())
         try:
-            await asyncio.wait([doing, leaving], return_when=asyncio.FIRST_COMPLETED)
-            if doing.done():
-                doing.result()
+            await asyncio.wait(
+                [running, abandoning], return_when=asyncio.FIRST_COMPLETED
+            )
+            if running.done():
+                running.result()
         finally:
-            doing.cancel()
-            leaving.cancel()
+            running.cancel()
+            abandoning.cancel()
 
     async def _wait_idle(self) -> None:
         while self._steps.count_open():
-            await asyncio.sleep(_IDLE_CHECK / SECOND)
+            await asyncio.sleep(_IDLE_CHECK_INTERVAL / SECOND)
 
     async def _settle(self) -> None:
-        """Settle, again and again while the platform is out."""
+        """Settle bills and grants; retry until the platform is available."""
         while not self.settled:
             with contextlib.suppress(AnvilshiftError):
                 self.settled = await self._steps.settle()
             if not self.settled:
-                await asyncio.sleep(_SETTLE_PAUSE / SECOND)
+                await asyncio.sleep(_SETTLE_RETRY_INTERVAL / SECOND)
--- a/anvilshift/router/world.py
+++ b/anvilshift/router/world.py
@@ -1,4 +1,4 @@
-"""What a router needs of the outside."""
+"""The external dependencies of a router."""
 
 import random
 from dataclasses import dataclass
@@ -12,12 +12,12 @@
 
 @dataclass(frozen=True)
 class World:
-    """What a router needs of the outside.
+    """The external dependencies of a router, replaced by fakes in seeded test runs.
 
     Parameters
     ----------
     rng
-        Source of every random choice and name.
+        Source of all random choices and random names.
     """
 
     clock: Clock
