--- a/tests/router/nodes.py
+++ b/tests/router/nodes.py
@@ -1,4 +1,7 @@
-"""Routers without sockets on a platform in memory, with cuts between all."""
+"""A router fleet in one process, without sockets, on an in-memory platform.
+
+Tests can cut any router off from the platform and from other routers.
+"""
 
 import asyncio
 import random
@@ -17,14 +20,14 @@
 
 
 class VirtualTestCase(unittest.IsolatedAsyncioTestCase):
-    """Run each test in virtual time, whatever the machine does meanwhile."""
+    """Run each test in virtual time, independently of the machine's load."""
 
     def _setupAsyncioRunner(self):  # noqa: N802
         self._asyncioRunner = asyncio.Runner(loop_factory=VirtualLoop)
 
 
 class Nodes:
-    """A fleet in one process; routers are numbered from 1."""
+    """A fleet of routers in one process, named `r1`, `r2` and so on."""
 
     def __init__(self, engine=None):
         self.platform = MemoryStore()
@@ -67,7 +70,7 @@
 
     def cut_from_platform(self, *names):
         self.platform.faults.cut = set(names)
-        # A watch that waits when the cut comes must end, as its connection would.
+        # A watch that is waiting at this moment must end, as its connection would.
         self.platform._wake()
 
     def cut_peers(self, *names):
@@ -84,13 +87,13 @@
 
 
 class NodeLink:
-    """Peer calls within the process."""
+    """Call the other routers directly, unless the connection is cut."""
 
     def __init__(self, nodes, name):
         self._nodes = nodes
         self._name = name
 
-    def _find(self, address):
+    def _find_fleet(self, address):
         for name, node in self._nodes.nodes.items():
             if node.fleet.member.peer_address == address:
                 pair = frozenset({name, self._name})
@@ -100,22 +103,22 @@
         raise PeerError("cut")
 
     async def beat(self, address, beat):
-        return await self._find(address).take_beat(beat)
+        return await self._find_fleet(address).take_beat(beat)
 
     async def keep(self, address, request):
-        return await self._find(address).take_copies(request)
+        return await self._find_fleet(address).take_copies(request)
 
     async def give_back(self, address, request):
-        return await self._find(address).take_give_back(request)
+        return await self._find_fleet(address).take_give_back(request)
 
     async def call_store(self, address, request):
-        return await self._find(address).take_call_store(request)
+        return await self._find_fleet(address).take_call_store(request)
 
     async def permit(self, address, request):
-        return await self._find(address).take_permit(request)
+        return await self._find_fleet(address).take_permit(request)
 
     async def relocate(self, address, request):
-        return await self._find(address).take_relocate(request)
+        return await self._find_fleet(address).take_relocate(request)
 
     def close(self):
         pass
--- a/tests/router/test_acceptance.py
+++ b/tests/router/test_acceptance.py
@@ -1,4 +1,4 @@
-"""Accepted means in force at every router that takes new work."""
+"""An accepted declaration is in force at every router that takes new work."""
 
 import asyncio
 import random
@@ -48,10 +48,11 @@
         self.assertTrue(acceptance.accepted)
         self.assertEqual([self.grant(n) for n in ("r1", "r2", "r3")], [2, 2, 2])
 
-    async def test_delete_is_acknowledged_too(self):
-        """An operator deletes a budget and is told that this is in force.
+    async def test_delete_waits_for_acknowledgement(self):
+        """Guards against reporting a delete as accepted before it is in force.
 
-        A delete wrote no revision to wait for, so `apply` said so at once.
+        A delete used to write no revision to wait for, so `apply` reported it as
+        accepted at once.
         """
         self.fleet.cut_from_platform("r3")
         self.fleet.cut_peers("r3")
@@ -73,17 +74,20 @@
         self.assertIn("r3", self.fleet.platform.names("Router"))
         self.assertIn("r3", self.fleet.ready())
 
-    async def test_isolated_router_never_serves_on_what_was_replaced(self):
-        """A router loses the platform and its peers; a declaration is accepted
-        without it.  Callers that still reach it would be served under the old.
+    async def test_isolated_router_never_serves_under_replaced_declarations(self):
+        """Guards against serving under replaced declarations.
+
+        A router loses the platform and its peers, and a new declaration is
+        accepted without it. Callers that still reach it would be served under the
+        old one.
         """
         self.fleet.cut_from_platform("r3")
         self.fleet.cut_peers("r3")
         await wait_until(lambda: self.grant("r3") == 1)
-        accepting = asyncio.create_task(self.apply(make_budget(2)))
-        while not accepting.done():
+        applying = asyncio.create_task(self.apply(make_budget(2)))
+        while not applying.done():
             await asyncio.sleep(0.01)
-        self.assertTrue(accepting.result().accepted)
+        self.assertTrue(applying.result().accepted)
         self.assertNotIn("r3", self.fleet.ready())
         self.fleet.cut_from_platform()
         self.fleet.cut_peers()
@@ -93,29 +97,29 @@
             served_old = self.grant("r3") == 1
         self.assertFalse(served_old)
 
-    async def test_outage_stops_nobody_and_a_newcomer_waits_for_its_end(self):
-        """The platform goes out for longer than every lease.
+    async def test_routers_serve_in_an_outage_and_a_new_router_waits_for_its_end(self):
+        """The platform is unavailable for longer than every lease.
 
-        All routers must serve on; one that starts meanwhile knows nothing and
-        must turn callers away until it holds the newest declarations.
+        All routers must go on serving. A router that starts during the outage has
+        no declarations and must refuse callers until it holds the newest ones.
         """
         self.fleet.platform.faults.outage = True
         self.fleet.cut_from_platform()
-        newcomer = self.fleet.start_one("r4")
+        new_router = self.fleet.start_one("r4")
         clock = self.fleet.clock
         end = clock.now() + 4 * LEASE
         while clock.now() < end:
             self.assertEqual(self.fleet.ready(), {"r1", "r2", "r3"})
             await asyncio.sleep(0.02)
         self.fleet.platform.faults.outage = False
-        await wait_until(newcomer.is_ready)
+        await wait_until(new_router.is_ready)
         self.assertEqual(self.grant("r4"), 1)
 
     async def test_minority_with_the_platform_waits_for_the_majority(self):
-        """One of three keeps the platform; the other two hear only each other.
+        """One of three routers reaches the platform; the others only reach each other.
 
-        They take the platform for out and serve on, so the one must not get a
-        declaration accepted without them.
+        The other two assume a platform outage and go on serving, so a declaration
+        must not be accepted without them.
         """
         self.fleet.cut_from_platform("r2", "r3")
         self.fleet.cut_peers("r1")
@@ -133,7 +137,7 @@
         self.assertTrue((await self.apply(make_budget(2))).accepted)
         self.assertEqual([self.grant(n) for n in ("r1", "r2", "r3")], [2, 2, 2])
 
-    async def test_loser_of_a_race_overwrites_nothing(self):
+    async def test_conflicting_write_overwrites_nothing(self):
         store = self.fleet.platform
         stored = await read_stored(store)
         differences = compare(make_budget(5), stored, prune=False)
@@ -142,10 +146,10 @@
         self.assertEqual([item.name for item in lost], ["pounds"])
         self.assertEqual(store.peek("Budget", "pounds")["grant"], 4)
 
-    async def test_delete_in_a_gap_of_the_watch_is_found(self):
-        """A budget is deleted in an outage, and the platform forgets its past.
+    async def test_delete_in_a_watch_gap_is_detected(self):
+        """A budget is deleted in an outage, and the platform discards its history.
 
-        A watch that went on from the old revision would never hear of it.
+        A watch that resumed from the old revision would never receive the delete.
         """
         self.fleet.cut_from_platform("r1", "r2", "r3")
         await self.store({})
@@ -154,10 +158,10 @@
         await wait_until(lambda: self.grant("r1") is None)
         self.assertTrue((await self.apply({})).accepted)
 
-    async def test_record_that_cannot_be_read_stops_nobody(self):
-        """Something else writes a Router object that is none.
+    async def test_unreadable_router_record_does_not_end_the_watch(self):
+        """Another program writes an invalid Router object.
 
-        Routers that ended their watch over it would never hear of a change.
+        Routers whose watch ended with that error would never receive a change.
         """
         store = self.fleet.platform
         await store.put("Router", "r9", {"name": 5}, 0)
@@ -169,7 +173,8 @@
     async def test_unreadable_declaration_is_not_acknowledged(self):
         """A newer program stores a field that these routers can't read.
 
-        They keep the last state they could read, and `apply` names them.
+        They keep the last state that they could read, and `apply` lists them as
+        waiting.
         """
         newest, _ = await self.store(make_budget("many"))
         acceptance = await wait_accepted(
@@ -181,7 +186,7 @@
 
 
 class StaleStore:
-    """Lists a new state, then an older copy, then the new one again."""
+    """Return a new listing, then an older one, then the new one again."""
 
     def __init__(self):
         body = make_budget(2)["Budget", "pounds"]
@@ -199,7 +204,7 @@
 
 
 class StaleListingTest(unittest.IsolatedAsyncioTestCase):
-    async def test_older_copy_takes_nothing_back(self):
+    async def test_older_listing_reverts_nothing(self):
         store = StaleStore()
         seen = []
         follower = Follower(store, seen.append, lambda n, b: None, random.Random(1))
@@ -210,10 +215,12 @@
         self.assertEqual(follower.acknowledged, 9)
 
 
-class BrokenPartTest(VirtualTestCase):
-    async def test_router_whose_watch_has_ended_takes_no_new_work(self):
-        """A fault in the program ends the watch.  The router would serve on
-        under old declarations, with a lease that it goes on renewing.
+class EndedTaskTest(VirtualTestCase):
+    async def test_router_whose_watch_has_ended_refuses_new_work(self):
+        """An exception in the program ends the watch.
+
+        The router would go on serving under old declarations, because it still
+        renews its lease.
         """
         fleet = Nodes()
         self.addAsyncCleanup(fleet.close)
--- a/tests/router/test_bad_input.py
+++ b/tests/router/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input gets a clear numbered error, costs nothing, and the router goes on."""
+"""Invalid input gets a numbered error and costs nothing; the router keeps serving."""
 
 import asyncio
 import json
@@ -35,8 +35,8 @@
         self.addAsyncCleanup(self.fleet.close)
         await self.fleet.start()
 
-    async def check_goes_on(self):
-        """Check that nothing was billed and that good work is still served."""
+    async def check_still_serves(self):
+        """Check that nothing was billed and that valid requests are still served."""
         self.assertEqual(self.fleet.spent, 0)
         self.assertEqual(self.fleet.nodes[0].callers.in_flight, 0)
         self.assertEqual((await self.fleet.chat("good work")).status, 200)
@@ -99,13 +99,13 @@
         ):
             answer = await self.fleet.chat("tank", (header, value))
             self.assertEqual(read_code(answer), (code, "not run"), (header, value))
-        await self.check_goes_on()
+        await self.check_still_serves()
 
-    async def test_doubled_headers(self):
+    async def test_duplicate_headers(self):
         for name in ("idempotency-key", "anvilshift-deadline-ms", "last-event-id"):
             answer = await self.fleet.chat("tank", (name, "5"), (name, "6"))
             self.assertEqual(read_code(answer)[0], 1001, name)
-        await self.check_goes_on()
+        await self.check_still_serves()
 
     async def test_credentials(self):
         for token in ("nobody", "é", "x" * 10_000):
@@ -113,7 +113,7 @@
             self.assertEqual(answer.status, 401, token[:9])
         self.assertNotIn(b"pound", (await self.fleet.chat("tank", token="no")).body)
 
-    async def test_wire_nonsense(self):
+    async def test_malformed_http_requests(self):
         head = b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
         many = b"".join(b"x-%d: y\r\n" % n for n in range(20_000))
         for data, code in (
@@ -127,15 +127,15 @@
         ):
             answer = await self.send_raw(data)
             self.assertIn(b'"code":' + code, answer, data[:60])
-        await self.check_goes_on()
+        await self.check_still_serves()
 
-    async def test_service_call_passes_odd_headers(self):
+    async def test_service_call_forwards_non_ascii_headers(self):
         headers = (("x-name", "Mahoe é"), ("idempotency-key", "k"))
         answer = await self.fleet.post("/services/book/runs", b"{}", *headers)
         self.assertEqual(answer.status, 201)
 
     async def test_bound_counts_all_that_an_engine_may_read(self):
-        """Tools that a request describes are tokens of its prompt too."""
+        """Guards against a prompt bound that ignores tool descriptions."""
         routes = dict(self.fleet.nodes[0].gate.catalogue.routes)
         bounds = []
         for extra in ({}, {"tools": ["x" * 1_000]}):
@@ -151,10 +151,12 @@
         for path in ("/", "/v1", "/services/", "/services/m/x", "/services/none/x"):
             answer = await self.fleet.post(path, b"")
             self.assertEqual(read_code(answer), (1005, "not run"), path)
-        await self.check_goes_on()
+        await self.check_still_serves()
 
-    async def speak(self, body: bytes, status: int = 200, length: str | None = None):
-        """Let every engine answer with given bytes; return what a caller gets."""
+    async def answer_with(
+        self, body: bytes, status: int = 200, length: str | None = None
+    ):
+        """Make every engine answer with given bytes; return the caller's response."""
 
         async def complete(request, responder):
             headers = [("content-length", length)] if length else []
@@ -175,7 +177,7 @@
             patch.stop()
         return answer
 
-    async def test_engines_that_answer_nonsense(self):
+    async def test_malformed_engine_answers(self):
         for body, status in (
             (b"", 200),
             (b"data: {]\n\n", 200),
@@ -189,20 +191,20 @@
             (b"gone", 500),
             (b"", 302),
         ):
-            answer = await self.speak(body, status)
+            answer = await self.answer_with(body, status)
             self.assertEqual(read_code(answer)[1], "unknown", (body[:40], status))
-        await self.check_goes_on()
+        await self.check_still_serves()
 
-    async def test_engine_that_closes_early(self):
-        answer = await self.speak(b"data: ", length="500")
+    async def test_engine_that_closes_the_connection_early(self):
+        answer = await self.answer_with(b"data: ", length="500")
         self.assertEqual(read_code(answer)[1], "unknown")
-        await self.check_goes_on()
+        await self.check_still_serves()
 
     async def test_engine_that_refuses_did_not_run(self):
         for status in (400, 422, 429):
-            answer = await self.speak(b"no", status)
+            answer = await self.answer_with(b"no", status)
             self.assertEqual(read_code(answer)[1], "not run", status)
-        await self.check_goes_on()
+        await self.check_still_serves()
 
 
 class FuzzTest(unittest.TestCase):
@@ -223,11 +225,11 @@
 
     @settings(deadline=None, suppress_health_check=[HealthCheck.differing_executors])
     @given(st.dictionaries(CHAT_FIELDS | WORD, JSON), st.binary(max_size=20))
-    def test_any_body_is_a_job_or_a_numbered_error(self, changes, noise):
+    def test_any_body_is_a_job_or_a_numbered_error(self, changes, random_bytes):
         body = json.loads(make_chat("tank"))
         self.read(json.dumps({**body, **changes}).encode(), [])
-        self.read(noise, [])
-        self.read(make_chat("tank")[:-1] + noise, [])
+        self.read(random_bytes, [])
+        self.read(make_chat("tank")[:-1] + random_bytes, [])
 
     @settings(deadline=None, suppress_health_check=[HealthCheck.differing_executors])
     @given(
--- a/tests/router/test_random_acceptance.py
+++ b/tests/router/test_random_acceptance.py
@@ -1,4 +1,4 @@
-"""Random partitions, outages and restarts against the rule of acceptance."""
+"""Accepted declarations stay in force in random partitions, outages and restarts."""
 
 import asyncio
 import itertools
@@ -10,7 +10,7 @@
 from tests.router.nodes import Nodes, VirtualTestCase
 
 NAMES = ("r1", "r2", "r3", "r4", "r5")
-SPAN_S = 400
+DURATION_S = 400
 
 
 class RandomRun:
@@ -22,31 +22,34 @@
         self.checks = 0
         self.grants = itertools.count(1)
 
-    def is_busy(self, share):
-        return self.rng.random() < share
+    def draw_bool(self, probability):
+        return self.rng.random() < probability
 
-    def draw_names(self):
+    def draw_router_names(self):
         return self.rng.sample(NAMES, self.rng.randint(1, 4))
 
-    async def disturb(self):
-        """Draw a new state of the network, now and then a whole one."""
+    async def change_network(self):
+        """Set a random state of the network at random intervals.
+
+        With a probability of 0.3 nothing is cut or out.
+        """
         fleet = self.fleet
         while True:
             await asyncio.sleep(self.rng.uniform(0.2, 15))
-            whole = self.is_busy(0.3)
-            fleet.platform.faults.outage = not whole and self.is_busy(0.25)
-            cut = [] if whole or self.is_busy(0.4) else self.draw_names()
+            healthy = self.draw_bool(0.3)
+            fleet.platform.faults.outage = not healthy and self.draw_bool(0.25)
+            cut = [] if healthy or self.draw_bool(0.4) else self.draw_router_names()
             fleet.cut_from_platform(*cut)
-            sides = {name: self.is_busy(0.5) for name in NAMES}
-            parted = not whole and self.is_busy(0.6)
+            sides = {name: self.draw_bool(0.5) for name in NAMES}
+            partitioned = not healthy and self.draw_bool(0.6)
             fleet.pair_cuts = {
                 frozenset(pair)
                 for pair in itertools.combinations(NAMES, 2)
-                if parted and sides[pair[0]] != sides[pair[1]]
+                if partitioned and sides[pair[0]] != sides[pair[1]]
             }
 
-    async def restart(self):
-        """Now and then a router is replaced by one that knows nothing."""
+    async def replace_routers(self):
+        """At random intervals, replace a router by a new one without any state."""
         while True:
             await asyncio.sleep(self.rng.uniform(20, 60))
             name = self.rng.choice(NAMES)
@@ -55,8 +58,8 @@
                 task.cancel()
             self.fleet.start_one(name)
 
-    async def operate(self):
-        """Change a declaration again and again and wait for its acceptance."""
+    async def apply_changes(self):
+        """Repeatedly change a declaration and wait until it is accepted."""
         platform = self.fleet.platform
         while True:
             await asyncio.sleep(self.rng.uniform(0, 4))
@@ -64,29 +67,33 @@
             body = {"kind": "Budget", "name": "pounds", "grant": grant}
             try:
                 stored = await update(platform, "Budget", "pounds", lambda _, b=body: b)
-                found = await wait_accepted(
+                acceptance = await wait_accepted(
                     platform, self.fleet.clock, stored.version, 10_000.0
                 )
             except AnvilshiftError:
                 continue
-            if found.accepted:
+            if acceptance.accepted:
                 self.accepted = stored.version
                 self.acceptances += 1
 
     def check(self):
-        """Assert that whoever serves has in force what was accepted."""
+        """Assert that every ready router has the accepted declaration in force."""
         for name, node in self.fleet.nodes.items():
             if node.is_ready():
                 self.checks += 1
-                held = node.follower.acknowledged
-                assert held >= self.accepted, (name, held, self.accepted)
+                in_force = node.follower.acknowledged
+                assert in_force >= self.accepted, (name, in_force, self.accepted)
 
     async def run(self):
         await self.fleet.start(*NAMES)
         loop = asyncio.get_running_loop()
-        works = (self.disturb(), self.restart(), self.operate())
-        tasks = [loop.create_task(work) for work in works]
-        while loop.time() < SPAN_S:
+        coroutines = (
+            self.change_network(),
+            self.replace_routers(),
+            self.apply_changes(),
+        )
+        tasks = [loop.create_task(coroutine) for coroutine in coroutines]
+        while loop.time() < DURATION_S:
             self.check()
             await asyncio.sleep(0.02)
             for task in tasks:
@@ -98,10 +105,10 @@
 
 
 class RandomAcceptanceTest(VirtualTestCase):
-    """What was accepted is in force at every router that takes new work.
+    """An accepted declaration is in force at every router that takes new work.
 
-    Routers lose the platform and each other in any combination, and come back;
-    some are replaced.  Callers must never be served under what was replaced.
+    Routers lose the platform and each other in random combinations and reconnect;
+    some are replaced. Callers must never be served under replaced declarations.
     """
 
     async def run_seed(self, seed):
--- a/tests/router/test_requests.py
+++ b/tests/router/test_requests.py
@@ -1,4 +1,4 @@
-"""What names a request: the caller, its key and, in the ledger, its content."""
+"""A bill key depends on the organisation, the idempotency key and the content."""
 
 import unittest
 
@@ -21,11 +21,11 @@
 
 
 class BillKeyTest(unittest.TestCase):
-    def test_key_with_another_body_has_a_bill_of_its_own(self):
-        """A caller pays for one answer and sends its key with other bodies.
+    def test_reused_key_with_another_body_has_another_bill(self):
+        """Guards against unbilled requests that reuse a key with another body.
 
-        Through other routers each was served, and its bill counted as the
-        first one's, sent again: all but the first were free.
+        Other routers served each of them, and its bill was taken for a duplicate
+        of the first one, so that only the first request was paid for.
         """
         self.assertNotEqual(read("tank 1").bill_key, read("tank 2").bill_key)
 
--- a/tests/router/test_stopping.py
+++ b/tests/router/test_stopping.py
@@ -1,4 +1,4 @@
-"""A planned stop serves on, finishes, settles, and names what it cut off."""
+"""A planned stop serves on, finishes requests, settles and logs what it cut off."""
 
 import asyncio
 
@@ -41,7 +41,7 @@
             self.log.append(("settle", self.now()))
         return not self.platform_out
 
-    async def test_new_work_is_taken_while_callers_may_keep_the_address(self):
+    async def test_new_work_is_taken_while_callers_may_cache_the_address(self):
         stop, running = self.begin()
         self.assertEqual(await running, 0)
         self.assertTrue(stop.settled)
@@ -58,7 +58,7 @@
         self.assertEqual(await running, 0)
         self.assertTrue(stop.settled)
 
-    async def test_grace_limit_names_what_is_cut_off(self):
+    async def test_grace_limit_logs_requests_that_are_cut_off(self):
         self.open = [REQUEST]
         _, running = self.begin(grace=8 * SECOND)
         with self.assertLogs("absl", "ERROR") as logs:
@@ -66,7 +66,7 @@
         self.assertAlmostEqual(self.now(), 8.0, places=5)
         self.assertIn("request=request-1 organisation=kosice", "".join(logs.output))
 
-    async def test_second_signal_ends_it_at_once(self):
+    async def test_second_signal_ends_the_stop_at_once(self):
         self.open = [REQUEST]
         _, running = self.begin()
         await asyncio.sleep(1)
@@ -82,8 +82,8 @@
         self.assertEqual(await running, 0)
         self.assertTrue(stop.settled)
 
-    async def test_outage_bounds_the_stop_and_is_told(self):
-        """The platform stays out: the grants can't go back before the end."""
+    async def test_outage_ends_the_stop_unsettled_after_the_grace(self):
+        """The platform stays unavailable, so the grants can't be given back in time."""
         self.platform_out = True
         stop, running = self.begin()
         self.assertEqual(await running, 0)
