--- a/anvilshift/router/answers.py
+++ b/anvilshift/router/answers.py
@@ -14,11 +14,11 @@
 from anvilshift.wire.messages import EVENT_STREAM_TYPE, JSON_TYPE, Fields, Reply
 from anvilshift.wire.server import Responder, render_error
 
-REQUEST_HEADER = "anvilshift-request"
+REQUEST_ID_HEADER = "anvilshift-request"
 
 
 def _make_headers(job: Job) -> Fields:
-    return [(REQUEST_HEADER, job.key)]
+    return [(REQUEST_ID_HEADER, job.key)]
 
 
 def _make_usage(run: Run) -> dict[str, int]:
@@ -77,7 +77,7 @@
     return Event(json.dumps(chunk)).encode() + Event("[DONE]").encode()
 
 
-async def write_stream(
+async def send_stream(
     run: Run,
     job: Job,
     responder: Responder,
@@ -146,7 +146,7 @@
     return Answer(200, JSON_TYPE[1], body)
 
 
-async def write_answer(answer: Answer, job: Job, responder: Responder) -> None:
+async def send_answer(answer: Answer, job: Job, responder: Responder) -> None:
     """Send a complete answer, as a stream or an object as the caller requested.
 
     Raises
--- a/anvilshift/router/callers.py
+++ b/anvilshift/router/callers.py
@@ -13,16 +13,16 @@
     AnvilshiftError,
 )
 from anvilshift.router.answers import (
-    REQUEST_HEADER,
+    REQUEST_ID_HEADER,
     read_whole,
-    write_answer,
-    write_stream,
+    send_answer,
+    send_stream,
 )
 from anvilshift.router.claimed import ClaimedRuns
 from anvilshift.router.claims import ClaimBook
 from anvilshift.router.gate import Gate
 from anvilshift.router.registry import Runs, goes_on
-from anvilshift.router.requests import Job, read_chat, read_service_call
+from anvilshift.router.requests import Job, parse_chat_request, parse_service_call
 from anvilshift.router.runs import Shared
 from anvilshift.router.services import ServiceCall
 from anvilshift.wire.jsons import dump_json
@@ -119,16 +119,16 @@
     ) -> None:
         now = self._shared.clock.now()
         routes = dict(self._gate.catalogue.routes)
-        job = read_chat(request, organisation, routes, now)
+        job = parse_chat_request(request, organisation, routes, now)
         self._admit(job)
         if job.non_idempotent:
             await self._handle_claimed_chat(job, responder)
             return
         run = self.runs.join(job, self._gate.make_work(job))
         if job.stream:
-            await write_stream(run, job, responder)
+            await send_stream(run, job, responder)
         else:
-            await write_answer(await read_whole(run), job, responder)
+            await send_answer(await read_whole(run), job, responder)
 
     async def _handle_claimed_chat(self, job: Job, responder: Responder) -> None:
         """Handle a non-idempotent chat request, which runs under a claim.
@@ -144,9 +144,9 @@
                 await asyncio.wait([outcome, running], return_when=first)
             run = running.result() if running.done() else None
             if run is not None and not outcome.done() and goes_on(run, job):
-                await write_stream(run, job, responder, outcome)
+                await send_stream(run, job, responder, outcome)
             else:
-                await write_answer(await outcome, job, responder)
+                await send_answer(await outcome, job, responder)
         finally:
             # This cancels only the waiting; the work continues until its outcome is
             # recorded.
@@ -164,7 +164,7 @@
         if route is None or route.kind is not TargetKind.SERVICE:
             raise AnvilshiftError(UNKNOWN_ROUTE, "unknown service")
         now = self._shared.clock.now()
-        job = read_service_call(request, organisation, route, subpath, now)
+        job = parse_service_call(request, organisation, route, subpath, now)
         self._admit(job)
         call = ServiceCall(self._shared, job, request, f"/{subpath}")
         work = self._gate.make_work(job)
@@ -172,6 +172,6 @@
             answer = await self.claimed.run(job, lambda: call.run(work))
         else:
             answer = await call.run(work)
-        headers = [("content-type", answer.content_type), (REQUEST_HEADER, job.key)]
+        headers = [("content-type", answer.content_type), (REQUEST_ID_HEADER, job.key)]
         body = answer.body.encode("latin-1")
         await responder.send(Reply(answer.status, headers, body))
--- a/anvilshift/router/node.py
+++ b/anvilshift/router/node.py
@@ -33,7 +33,7 @@
 from anvilshift.router.relayed import RelayedStore
 from anvilshift.router.relocating import Relocating
 from anvilshift.router.runs import Shared
-from anvilshift.router.stopping import PlannedStop, StopSteps
+from anvilshift.router.stopping import PlannedStop, StopCallbacks
 from anvilshift.router.targets import Targets
 from anvilshift.router.treasury import Treasury
 from anvilshift.router.world import World
@@ -340,7 +340,7 @@
         abandoned
             Event that is set when the stop must end at once.
         """
-        steps = StopSteps(
+        callbacks = StopCallbacks(
             self._leave_fleet,
             self._refuse_new_work,
             self.treasury.hand_back,
@@ -349,7 +349,7 @@
         )
         settings = self.settings
         keep, grace = settings.keep_addresses, settings.grace
-        stop = PlannedStop(steps, keep, grace, abandoned)
+        stop = PlannedStop(callbacks, keep, grace, abandoned)
         cut_off = await stop.run()
         self.settled = stop.settled
         if not abandoned.is_set():
--- a/anvilshift/router/requests.py
+++ b/anvilshift/router/requests.py
@@ -25,9 +25,9 @@
 DEADLINE_HEADER = "anvilshift-deadline-ms"
 NON_IDEMPOTENT_HEADER = "anvilshift-non-idempotent"
 RESUME_HEADER = "last-event-id"
-TEMPLATE_TOKENS = 64
+MAX_TEMPLATE_TOKENS = 64
 """Maximum tokens that a chat template adds to a request, besides those per message."""
-TOKENS_PER_MESSAGE = 8
+MAX_TOKENS_PER_MESSAGE = 8
 _DEFAULT_ANSWER_TOKENS = 256
 _MAX_ANSWER_TOKENS = 1_000_000
 _MAX_KEY_LENGTH = 200
@@ -217,7 +217,7 @@
     return digest(dump_json({k: v for k, v in body.items() if k != "stream"}))
 
 
-def read_chat(
+def parse_chat_request(
     request: HttpRequest,
     organisation: Organisation,
     routes: dict[str, Route],
@@ -289,7 +289,10 @@
     extra_bytes = sum(len(dump_json(extra)) for extra in extras if extra)
     texts = sum(len(m.content.encode()) + len(m.role) for m in chat.messages)
     return (
-        texts + extra_bytes + TEMPLATE_TOKENS + TOKENS_PER_MESSAGE * len(chat.messages)
+        texts
+        + extra_bytes
+        + MAX_TEMPLATE_TOKENS
+        + MAX_TOKENS_PER_MESSAGE * len(chat.messages)
     )
 
 
@@ -329,7 +332,7 @@
     return digest(route, method, subpath, body)
 
 
-def read_service_call(
+def parse_service_call(
     request: HttpRequest,
     organisation: Organisation,
     route: Route,
--- a/anvilshift/router/stopping.py
+++ b/anvilshift/router/stopping.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True)
-class StopSteps:
+class StopCallbacks:
     """Callbacks through which a planned stop controls its router.
 
     Parameters
@@ -64,30 +64,34 @@
     """
 
     def __init__(
-        self, steps: StopSteps, keep: Millis, grace: Millis, abandoned: asyncio.Event
+        self,
+        callbacks: StopCallbacks,
+        keep: Millis,
+        grace: Millis,
+        abandoned: asyncio.Event,
     ) -> None:
         self.settled = False
-        self._steps = steps
+        self._callbacks = callbacks
         self._keep_addresses = keep
         self._grace = grace
         self._abandoned = abandoned
 
     async def run(self) -> int:
         """Run all steps; return how many requests were cut off."""
-        steps = self._steps
-        logging.info("planned stop begins in_flight=%d", steps.count_open())
+        callbacks = self._callbacks
+        logging.info("planned stop begins in_flight=%d", callbacks.count_open())
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._grace / SECOND):
-                await self._run_unless_abandoned(steps.leave())
+                await self._run_unless_abandoned(callbacks.leave())
                 # Callers may cache an address for the configured time, so new work
                 # is refused only after that.
                 await self._run_unless_abandoned(
                     asyncio.sleep(self._keep_addresses / SECOND)
                 )
-                steps.refuse()
+                callbacks.refuse()
                 await self._run_unless_abandoned(self._wait_idle())
                 await self._run_unless_abandoned(self._settle())
-        cut_off = steps.list_open()
+        cut_off = callbacks.list_open()
         for request, organisation in cut_off:
             logging.error("cut off request=%s organisation=%s", request, organisation)
         if not self.settled:
@@ -110,13 +114,13 @@
             abandoning.cancel()
 
     async def _wait_idle(self) -> None:
-        while self._steps.count_open():
+        while self._callbacks.count_open():
             await asyncio.sleep(_IDLE_CHECK_INTERVAL / SECOND)
 
     async def _settle(self) -> None:
         """Settle bills and grants; retry until the platform is available."""
         while not self.settled:
             with contextlib.suppress(AnvilshiftError):
-                self.settled = await self._steps.settle()
+                self.settled = await self._callbacks.settle()
             if not self.settled:
                 await asyncio.sleep(_SETTLE_RETRY_INTERVAL / SECOND)
--- a/tests/router/test_bad_input.py
+++ b/tests/router/test_bad_input.py
@@ -10,7 +10,7 @@
 
 from anvilshift.core.errors import AnvilshiftError
 from anvilshift.engines.http import TargetError, _feed, _read_piece
-from anvilshift.router.requests import read_chat, read_service_call
+from anvilshift.router.requests import parse_chat_request, parse_service_call
 from anvilshift.wire.events import EventReader
 from anvilshift.wire.messages import Headers, HttpRequest
 from tests.router.fleetlet import Fleetlet, make_chat, read_code
@@ -142,7 +142,7 @@
             body = make_chat("tank", extra={"max_completion_tokens": 5, **extra})
             request = HttpRequest("POST", CHAT, Headers([]), body)
             organisation = self.fleet.nodes[0].gate.catalogue.organisations["pound"]
-            job = read_chat(request, organisation, routes, 0.0)
+            job = parse_chat_request(request, organisation, routes, 0.0)
             self.assertEqual((job.answer_bound, job.body["max_tokens"]), (5, 5))
             bounds.append(job.prompt_bound)
         self.assertGreater(bounds[1] - bounds[0], 1_000)
@@ -215,7 +215,7 @@
     def read(self, body: bytes, headers: list[tuple[str, str]]) -> None:
         request = HttpRequest("POST", CHAT, Headers(headers), body)
         try:
-            job = read_chat(request, self.organisation, self.routes, 0.0)
+            job = parse_chat_request(request, self.organisation, self.routes, 0.0)
         except AnvilshiftError as error:
             self.assertEqual(error.code.fate.value, "not run")
             return
@@ -242,7 +242,9 @@
         self.read(make_chat("tank"), [(name, value)])
         request = HttpRequest("POST", "/services/book/x", Headers([(name, value)]))
         try:
-            read_service_call(request, self.organisation, self.routes["book"], "x", 0.0)
+            parse_service_call(
+                request, self.organisation, self.routes["book"], "x", 0.0
+            )
         except AnvilshiftError as error:
             self.assertEqual(error.code.fate.value, "not run")
 
--- a/tests/router/test_requests.py
+++ b/tests/router/test_requests.py
@@ -3,7 +3,7 @@
 import unittest
 
 from anvilshift.core.declarations import Organisation, Route, TargetKind
-from anvilshift.router.requests import Job, read_chat
+from anvilshift.router.requests import Job, parse_chat_request
 from anvilshift.wire.jsons import dump_json
 from anvilshift.wire.messages import Headers, HttpRequest
 
@@ -17,7 +17,7 @@
         body["anvilshift"] = {"received": received}
     headers = Headers([("idempotency-key", "key-1")])
     request = HttpRequest("POST", "/v1/chat/completions", headers, dump_json(body))
-    return read_chat(request, organisation, ROUTES, 0.0)
+    return parse_chat_request(request, organisation, ROUTES, 0.0)
 
 
 class BillKeyTest(unittest.TestCase):
--- a/tests/router/test_stopping.py
+++ b/tests/router/test_stopping.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from anvilshift.core.clock import SECOND
-from anvilshift.router.stopping import PlannedStop, StopSteps
+from anvilshift.router.stopping import PlannedStop, StopCallbacks
 from tests.router.nodes import VirtualTestCase
 
 REQUEST = ("request-1", "kosice")
@@ -17,14 +17,14 @@
         self.abandoned = asyncio.Event()
 
     def begin(self, grace=30 * SECOND):
-        steps = StopSteps(
+        callbacks = StopCallbacks(
             self.leave,
             self.refuse,
             self.settle,
             lambda: len(self.open),
             lambda: self.open,
         )
-        stop = PlannedStop(steps, 5 * SECOND, grace, self.abandoned)
+        stop = PlannedStop(callbacks, 5 * SECOND, grace, self.abandoned)
         return stop, asyncio.ensure_future(stop.run())
 
     def now(self):
