--- a/anvilshift/engines/__init__.py
+++ b/anvilshift/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Call model engines and plain services."""
+"""Adapters for targets: model engines and plain services."""
--- a/anvilshift/engines/engine.py
+++ b/anvilshift/engines/engine.py
@@ -1,4 +1,4 @@
-"""What the router needs of a target, whatever dialect it speaks."""
+"""Interfaces between the router and its targets, independent of their protocol."""
 
 from collections.abc import AsyncGenerator
 from contextlib import AbstractAsyncContextManager
@@ -18,13 +18,14 @@
     Parameters
     ----------
     attempt
-        The attempt's id at the engine: a digest that no other organisation's
-        request can have, so that resuming and cancelling reach only one's own.
+        The attempt's id at the engine.  It is a digest that no request of
+        another organisation can have, so resuming and cancelling affect only
+        the organisation's own requests.
     body
-        The caller's JSON, already checked.
+        The caller's JSON, already validated.
     received
-        Text of the answer that the caller has already; the engine goes on
-        from there.
+        Text of the answer that the caller already has; the engine continues
+        after it.
     """
 
     attempt: str
@@ -35,18 +36,18 @@
 
 @dataclass(frozen=True)
 class Piece:
-    """A piece of an answer.
+    """A part of a streamed answer.
 
     Parameters
     ----------
     text
-        What was generated.
+        Generated text.
     tokens
-        How many tokens that is.
+        Number of tokens of the text.
     finish
-        Why the answer ended, on its last piece.
+        Reason for which the answer ended; None except on the last part.
     usage
-        Prompt and answer tokens, on the last piece of an engine that counts.
+        Prompt and answer tokens, on the last part, if the engine counts them.
     """
 
     text: str
@@ -64,19 +65,21 @@
 
     @property
     def total(self) -> int:
-        """Return prompt and answer together."""
+        """Return the sum of prompt and answer tokens."""
         return self.prompt + self.answer
 
 
 @dataclass(frozen=True)
 class Order:
-    """A change that an engine shall make, stated as the desired end.
+    """A command that gives an engine the state that it must reach.
 
     Parameters
     ----------
     fencing
-        Number that grows with each owner; an engine that checks it refuses
-        an order of an earlier owner.
+        Fencing number, which increases with each owner of the orders.  An
+        engine that checks it refuses the orders of earlier owners.
+    desired
+        The desired state.
     """
 
     fencing: int
@@ -84,40 +87,40 @@
 
 
 class ModelEngine(Protocol):
-    """A model engine."""
+    """Adapter of a model engine."""
 
     def generate(
         self, call: ModelCall, timeout: Millis
     ) -> AbstractAsyncContextManager[AsyncGenerator[list[Piece]]]:
-        """Begin an answer; pieces that arrived together come together."""
+        """Start an answer; parts that arrived together form one list."""
 
     async def cancel(self, attempt: str) -> None:
-        """Stop an attempt."""
+        """Cancel an attempt at the engine."""
 
     async def load(self) -> LoadReport:
-        """Return the engine's late report of its load."""
+        """Return the engine's load report, which lags behind its actual load."""
 
     async def cache_events(self, after: int) -> tuple[CacheEvent, ...]:
-        """Return cache events after a sequence number, perhaps with gaps."""
+        """Return the cache events after a sequence number; some may be missing."""
 
     async def give(self, order: Order) -> bool:
-        """Give an order; False when its fencing number is too old."""
+        """Send an order; return False if its fencing number is outdated."""
 
     async def state(self) -> dict[str, Any]:
-        """Return what the engine says that it has loaded."""
+        """Return the engine's own report of what it has loaded."""
 
 
 class PlainService(Protocol):
-    """A plain service."""
+    """Adapter of a plain service."""
 
     async def call(
         self, method: str, path: str, headers: Fields, body: bytes, timeout: Millis
     ) -> HttpAnswer:
-        """Pass a call through and return the whole answer."""
+        """Forward a call and return the complete answer."""
 
 
 class Connector(Protocol):
-    """Make the adapter of a declared target."""
+    """Creates the adapters of declared targets."""
 
     def engine(self, engine: Engine) -> ModelEngine:
         """Return the adapter of a model engine."""
--- a/anvilshift/engines/http.py
+++ b/anvilshift/engines/http.py
@@ -1,4 +1,4 @@
-"""Targets over HTTP: chat completions with server-sent events, and plain calls."""
+"""HTTP adapters: streamed chat completions of engines, and calls of plain services."""
 
 import contextlib
 import json
@@ -16,7 +16,7 @@
 from anvilshift.wire.jsons import dump_json
 from anvilshift.wire.messages import JSON_TYPE, Address, Fields, HttpAnswer
 
-_UNREADABLE = (
+_PARSE_ERRORS = (
     ValueError,
     KeyError,
     TypeError,
@@ -25,10 +25,11 @@
     OverflowError,
     RecursionError,
 )
-"""What reading JSON of the wrong shape raises; a number can be infinite."""
-_DONE = "[DONE]"
+"""Exceptions raised by reading JSON of an unexpected structure.  `OverflowError` comes
+from converting an infinite number to an integer."""
+_END_MARKER = "[DONE]"
 _CONTROL_TIMEOUT: Millis = 1 * SECOND
-_REFUSALS = frozenset({400, 401, 403, 404, 405, 413, 415, 422, 429})
+_NOT_RUN_STATUSES = frozenset({400, 401, 403, 404, 405, 413, 415, 422, 429})
 _ATTEMPT_HEADER = "x-request-id"
 
 
@@ -38,7 +39,7 @@
     Parameters
     ----------
     failure
-        How, in the dispatcher's terms.
+        Kind of failure, as the dispatcher distinguishes them.
     """
 
     def __init__(self, failure: Failure, detail: str) -> None:
@@ -47,22 +48,22 @@
 
 
 class LateAnswerError(TargetError):
-    """An answer came that belongs to another attempt, and was discarded."""
+    """The engine sent the answer to another attempt, and it was discarded."""
 
     def __init__(self) -> None:
-        super().__init__(Failure.MIXED_UP, "the answer is of another attempt")
+        super().__init__(Failure.MIXED_UP, "the answer belongs to another attempt")
 
 
-def _convert(error: ExchangeError) -> TargetError:
+def _convert_error(error: ExchangeError) -> TargetError:
     failure = Failure.BROKE_OFF if error.sent else Failure.NOT_SENT
     return TargetError(failure, str(error))
 
 
 def _check_status(status: int) -> None:
-    """Raise unless the target took the work."""
-    # Only these say that nothing ran.  A 503 can come from a target that
-    # failed half-way, a 409 from one that runs the same work already.
-    if status in _REFUSALS:
+    """Raise `TargetError` unless the target accepted the work."""
+    # Only these statuses prove that the work did not run.  A 503 can come from a
+    # target that failed while running it, a 409 from one that already runs it.
+    if status in _NOT_RUN_STATUSES:
         raise TargetError(Failure.REJECTED, f"the target answered {status}")
     if status >= 500:
         raise TargetError(Failure.CRASHED, f"the target answered {status}")
@@ -71,12 +72,12 @@
 
 
 class HttpModelEngine:
-    """A model engine that speaks chat completions.
+    """Adapter of an engine with the chat completions API.
 
     Parameters
     ----------
     name
-        The engine's declared name, for its reports.
+        The engine's declared name, set on its load reports and cache events.
     """
 
     def __init__(self, client: HttpClient, name: str, address: Address) -> None:
@@ -88,7 +89,7 @@
     async def generate(
         self, call: ModelCall, timeout: Millis
     ) -> AsyncIterator[AsyncGenerator[list[Piece]]]:
-        """Begin an answer; pieces that arrived together come together."""
+        """Start an answer; parts that arrived together form one list."""
         body = {**call.body, "stream": True, "priority": call.priority}
         body["stream_options"] = {"include_usage": True}
         if call.received:
@@ -103,18 +104,18 @@
                 dump_json(body),
                 timeout,
             ) as response:
-                # A faulty engine or a connection that carried an earlier
-                # exchange can bring another attempt's answer; one that names
-                # its attempt is checked, so that no caller reads a stranger's.
-                named = response.headers.get(_ATTEMPT_HEADER)
-                if named is not None and named != call.attempt:
+                # A faulty engine, or a reused connection, can deliver the answer
+                # to another attempt.  If the answer names its attempt, that is
+                # checked, so that no caller receives another caller's answer.
+                answered_attempt = response.headers.get(_ATTEMPT_HEADER)
+                if answered_attempt is not None and answered_attempt != call.attempt:
                     raise LateAnswerError
                 _check_status(response.status)
                 yield _read_pieces(response)
         except ExchangeError as error:
-            raise _convert(error) from error
+            raise _convert_error(error) from error
 
-    async def _control(self, method: str, path: str, body: bytes = b"") -> Any:
+    async def _call_control(self, method: str, path: str, body: bytes = b"") -> Any:
         try:
             answer = await self._client.call(
                 self._address, method, path, [JSON_TYPE], body, _CONTROL_TIMEOUT
@@ -123,17 +124,19 @@
                 raise TargetError(Failure.REJECTED, f"{path} answered {answer.status}")
             return json.loads(answer.body)
         except ExchangeError as error:
-            raise _convert(error) from error
+            raise _convert_error(error) from error
         except ValueError as error:
-            raise TargetError(Failure.BROKE_OFF, f"{path} is no JSON") from error
+            raise TargetError(
+                Failure.BROKE_OFF, f"the answer to {path} is not valid JSON"
+            ) from error
 
     async def cancel(self, attempt: str) -> None:
-        """Stop an attempt."""
-        await self._control("POST", f"/v1/cancel/{attempt}")
+        """Cancel an attempt at the engine."""
+        await self._call_control("POST", f"/v1/cancel/{attempt}")
 
     async def load(self) -> LoadReport:
-        """Return the engine's late report of its load."""
-        value = await self._control("GET", "/load")
+        """Return the engine's load report, which lags behind its actual load."""
+        value = await self._call_control("GET", "/load")
         try:
             return LoadReport(
                 self.name,
@@ -143,14 +146,16 @@
                 int(value.get("cached_tokens", 0)),
                 float(value.get("tokens_per_second", 0.0)),
                 bool(value.get("leaving", False)),
-                _read_limit(value.get("requests_per_second")),
+                _parse_rate_limit(value.get("requests_per_second")),
             )
         except (KeyError, TypeError, ValueError) as error:
-            raise TargetError(Failure.BROKE_OFF, "the load report is wrong") from error
+            raise TargetError(
+                Failure.BROKE_OFF, "the load report is malformed"
+            ) from error
 
     async def cache_events(self, after: int) -> tuple[CacheEvent, ...]:
-        """Return cache events after a sequence number, perhaps with gaps."""
-        value = await self._control("GET", f"/cache-events?after={after}")
+        """Return the cache events after a sequence number; some may be missing."""
+        value = await self._call_control("GET", f"/cache-events?after={after}")
         try:
             return tuple(
                 CacheEvent(
@@ -162,27 +167,29 @@
                 for item in value["events"]
             )
         except (KeyError, TypeError, ValueError) as error:
-            raise TargetError(Failure.BROKE_OFF, "cache events are wrong") from error
+            raise TargetError(
+                Failure.BROKE_OFF, "the cache events are malformed"
+            ) from error
 
     async def give(self, order: Order) -> bool:
-        """Give an order; False when its fencing number is too old."""
+        """Send an order; return False if its fencing number is outdated."""
         body = {"fencing": order.fencing, "desired": order.desired}
-        value = await self._control("POST", "/orders", dump_json(body))
+        value = await self._call_control("POST", "/orders", dump_json(body))
         return bool(value.get("accepted"))
 
     async def state(self) -> dict[str, Any]:
-        """Return what the engine says that it has loaded."""
-        value = await self._control("GET", "/state")
+        """Return the engine's own report of what it has loaded."""
+        value = await self._call_control("GET", "/state")
         return value if isinstance(value, dict) else {}
 
 
-def _read_limit(value: Any) -> float | None:
-    """Return the requests a second that an engine takes; None for any number."""
+def _parse_rate_limit(value: Any) -> float | None:
+    """Return an engine's limit in requests per second; None if it has none."""
     if value is None:
         return None
     rate = float(value)
     if not 0 <= rate < math.inf:
-        raise ValueError("the limit is no rate")
+        raise ValueError("the limit is not a finite rate of at least zero")
     return rate
 
 
@@ -192,16 +199,16 @@
     async for chunk in response.chunks():
         pieces = []
         for event in _feed(reader, chunk):
-            if event.data == _DONE:
+            if event.data == _END_MARKER:
                 ended = True
             elif not ended:
                 pieces.append(_read_piece(event.data))
         if pieces:
             yield pieces
     if not ended:
-        # An engine that dies can close its stream cleanly; without the end
-        # mark the answer is not whole, whatever the transport says.
-        raise TargetError(Failure.BROKE_OFF, "the stream ended without its end mark")
+        # A crashing engine may still close its connection cleanly, so the answer
+        # is complete only if the end marker was received.
+        raise TargetError(Failure.BROKE_OFF, "the stream ended without the end marker")
 
 
 def _feed(reader: EventReader, chunk: bytes) -> list[Event]:
@@ -217,20 +224,22 @@
         choice = value["choices"][0] if value.get("choices") else {}
         text = choice.get("delta", {}).get("content") or ""
         usage = value.get("usage")
-        counted = (
+        token_usage = (
             Usage(int(usage["prompt_tokens"]), int(usage["completion_tokens"]))
             if usage
             else None
         )
         if not isinstance(text, str):
-            raise TypeError("content is no text")
-    except _UNREADABLE as error:
-        raise TargetError(Failure.BROKE_OFF, "an event can't be read") from error
-    return Piece(text, 1 if text else 0, choice.get("finish_reason"), counted)
+            raise TypeError("content is not a string")
+    except _PARSE_ERRORS as error:
+        raise TargetError(
+            Failure.BROKE_OFF, "an event of the stream is malformed"
+        ) from error
+    return Piece(text, 1 if text else 0, choice.get("finish_reason"), token_usage)
 
 
 class HttpPlainService:
-    """A plain service behind a route."""
+    """Adapter of a plain service that is called over HTTP."""
 
     def __init__(self, client: HttpClient, address: Address) -> None:
         self._client = client
@@ -239,17 +248,17 @@
     async def call(
         self, method: str, path: str, headers: Fields, body: bytes, timeout: Millis
     ) -> HttpAnswer:
-        """Pass a call through and return the whole answer."""
+        """Forward a call and return the complete answer."""
         try:
             return await self._client.call(
                 self._address, method, path, headers, body, timeout
             )
         except ExchangeError as error:
-            raise _convert(error) from error
+            raise _convert_error(error) from error
 
 
 class HttpConnector:
-    """Make adapters that share one client."""
+    """Creates adapters that share one HTTP client."""
 
     def __init__(self, client: HttpClient) -> None:
         self._client = client
--- a/anvilshift/wire/__init__.py
+++ b/anvilshift/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Speak HTTP/1.1 through h11, on the server and the client side."""
+"""HTTP/1.1 server and client on top of h11, server-sent events and JSON."""
--- a/anvilshift/wire/client.py
+++ b/anvilshift/wire/client.py
@@ -1,4 +1,4 @@
-"""Call HTTP/1.1 servers through h11 with pooled connections."""
+"""HTTP/1.1 client on top of h11 with a connection pool."""
 
 import asyncio
 import contextlib
@@ -20,11 +20,12 @@
 )
 
 _READ_AHEAD_BYTES = 256 * 1024
-_IDLE_PER_ADDRESS = 64
-_IDLE_PART = 0.8
-_IDLE_S = 30.0
-"""Where a server names no time: it may close earlier, which shows at once."""
-_HEAD_BYTES = 64 * 1024
+_MAX_IDLE_PER_ADDRESS = 64
+_IDLE_TIMEOUT_FRACTION = 0.8
+_DEFAULT_IDLE_TIMEOUT_S = 30.0
+"""Used if the server sends no keep-alive timeout.  It may close the connection
+earlier; the client is notified of that at once."""
+_MAX_HEAD_BYTES = 64 * 1024
 DEFAULT_BODY_BYTES = 16 * 1024 * 1024
 
 
@@ -36,8 +37,8 @@
     detail
         What failed.
     sent
-        Whether any byte of the request may have left.  Only when this is False
-        is the request provably not run.
+        Whether any byte of the request may have been sent.  Only if this is
+        False is it certain that the server did not process the request.
     """
 
     def __init__(self, detail: str, sent: bool) -> None:
@@ -46,14 +47,16 @@
 
 
 class _Connection(asyncio.BufferedProtocol):
-    """One connection to a server; it carries one exchange at a time."""
+    """One connection to a server, used for one exchange at a time."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
-        self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=_HEAD_BYTES)
+        self._h11 = h11.Connection(
+            h11.CLIENT, max_incomplete_event_size=_MAX_HEAD_BYTES
+        )
         self._events: deque[h11.Event] = deque()
         self._buffered = 0
-        self._arrived = asyncio.Event()
+        self._event_ready = asyncio.Event()
         self._failure: Exception | None = None
         self.closed = False
         self._idle = False
@@ -68,7 +71,7 @@
         self.closed = True
         if self._failure is None:
             self._failure = exc or ConnectionError("the server closed the connection")
-        self._arrived.set()
+        self._event_ready.set()
 
     def eof_received(self) -> bool:
         self._feed(b"")
@@ -79,8 +82,8 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         if self._idle:
-            # Bytes that nobody asked for would be read as the answer to the
-            # next request on this connection, which is another caller's.
+            # Unsolicited bytes on an idle connection would be read as the answer
+            # to the next request on it, which belongs to another caller.
             self.close()
             return
         self._feed(bytes(RECEIVE_BUFFER[:nbytes]))
@@ -104,15 +107,16 @@
             self._failure = error
             if self.transport is not None:
                 self.transport.abort()
-        # An engine that streams faster than its caller reads would fill the
-        # router's memory; reading stops until the backlog is taken.
+        # An engine that streams faster than its caller reads would exhaust the
+        # router's memory, so reading is paused until the backlog is consumed.
         if self._buffered > _READ_AHEAD_BYTES and self.transport is not None:
             self.transport.pause_reading()
-        self._arrived.set()
+        self._event_ready.set()
 
     def send(self, method: str, path: str, headers: Fields, body: bytes) -> None:
         assert self.transport is not None
-        # Fields that a caller sent pass on as the bytes that they were.
+        # Latin-1 round-trips every byte, so the caller's header fields are
+        # forwarded unchanged.
         raw = [(n.encode("latin-1"), v.encode("latin-1")) for n, v in headers]
         target = path.encode("latin-1")
         head = h11.Request(method=method, target=target, headers=raw)
@@ -120,16 +124,16 @@
         if body:
             parts.append(self._h11.send(h11.Data(data=body)))
         parts.append(self._h11.send(h11.EndOfMessage()))
-        # Not awaited until it is written: a server may answer before it has read
-        # a long body, and its answer would wait behind a body it doesn't read.
+        # Does not wait for the write buffer to drain: a server may answer without
+        # reading all of a long body, and the client must then read that answer.
         self.transport.write(b"".join(part for part in parts if part))
 
     async def receive(self) -> h11.Event:
         while not self._events:
             if self._failure is not None:
                 raise self._failure
-            self._arrived.clear()
-            await self._arrived.wait()
+            self._event_ready.clear()
+            await self._event_ready.wait()
         event = self._events.popleft()
         if isinstance(event, h11.Data):
             before = self._buffered
@@ -138,8 +142,8 @@
                 self.transport.resume_reading()
         return event
 
-    def take_ready(self) -> bytes:
-        """Return body bytes that have arrived already, without waiting."""
+    def take_buffered(self) -> bytes:
+        """Return the body bytes that are already buffered, without waiting."""
         parts = []
         while self._events and isinstance(self._events[0], h11.Data):
             event = self._events.popleft()
@@ -149,7 +153,7 @@
         return b"".join(parts)
 
     def reset(self) -> bool:
-        """Make ready for another exchange; False when the connection can't."""
+        """Prepare for another exchange; return False if that is not possible."""
         if self.closed or self._events or self._failure is not None:
             return False
         try:
@@ -159,8 +163,8 @@
         self._idle = not self._h11.trailing_data[0]
         return self._idle
 
-    def wake(self) -> bool:
-        """Begin another exchange; False when the connection was closed."""
+    def try_reuse(self) -> bool:
+        """Leave the idle state; return False if the connection closed or expired."""
         self._idle = False
         return not self.closed and time.monotonic() < self.idle_until
 
@@ -171,7 +175,7 @@
 
 
 class Response:
-    """An answer whose body is still arriving."""
+    """An answer whose body is read as it arrives."""
 
     def __init__(self, status: int, headers: Headers, connection: _Connection) -> None:
         self.status = status
@@ -180,74 +184,78 @@
         self._connection = connection
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body piece by piece; what has arrived together stays together.
+        """Yield the body in chunks; data that is already buffered forms one chunk.
 
         Raises
         ------
         ExchangeError
-            When the body breaks off before its end.
+            If the connection fails before the end of the body.
         """
         while not self.whole:
             try:
                 event = await self._connection.receive()
             except (OSError, h11.ProtocolError, RuntimeError) as error:
-                raise ExchangeError(f"the answer broke off: {error}", True) from error
+                raise ExchangeError(
+                    f"the connection failed during the answer: {error}", True
+                ) from error
             if isinstance(event, h11.EndOfMessage):
                 self.whole = True
             elif isinstance(event, h11.Data):
-                yield bytes(event.data) + self._connection.take_ready()
+                yield bytes(event.data) + self._connection.take_buffered()
 
     async def read(self, limit: int = DEFAULT_BODY_BYTES) -> bytes:
-        """Return the whole body.
+        """Read the body to its end and return it.
 
         Raises
         ------
         ExchangeError
-            When the body breaks off or is over the limit.
+            If the connection fails before the end of the body, or the body
+            exceeds the limit.
         """
         body = bytearray()
         async for chunk in self.chunks():
             body += chunk
             if len(body) > limit:
-                raise ExchangeError("the answer is over the limit", True)
+                raise ExchangeError("the answer exceeds the size limit", True)
         return bytes(body)
 
 
-async def _open(address: Address, timeout: Millis) -> _Connection:
-    """Connect within a time.
+async def _open_connection(address: Address, timeout: Millis) -> _Connection:
+    """Connect to an address within a timeout.
 
-    Not by `asyncio.wait_for`: when its task is cancelled as the connection is made,
-    Python 3.11 returns the connection and drops the cancellation.  A request whose
-    caller left would go on, and a task that is stopped would never end.
+    `asyncio.wait_for` is not used: if its task is cancelled just as the connection
+    is opened, Python 3.11 returns the connection and drops the cancellation.  A
+    request whose caller has disconnected would continue, and a task that is being
+    stopped would never end.
     """
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(timeout / SECOND):
-        _, made = await loop.create_connection(_Connection, address.ip, address.port)
-    return made
+        _, opened = await loop.create_connection(_Connection, address.ip, address.port)
+    return opened
 
 
-def _read_idle_span(headers: Headers) -> float:
-    """Return the seconds for which a server keeps an idle connection.
+def _read_idle_timeout(headers: Headers) -> float:
+    """Return the seconds for which an idle connection may be reused.
 
-    A request that crosses the server's close is lost or may have run, so the
-    connection is given up a little earlier than the server says.
+    A request sent while the server closes the connection is lost or may have run,
+    so the connection is dropped a little before the server's keep-alive timeout.
     """
     for name, value in headers.pairs:
         if name == "keep-alive":
-            for word in value.split(","):
-                key, _, number = word.strip().partition("=")
+            for parameter in value.split(","):
+                key, _, number = parameter.strip().partition("=")
                 if key.lower() == "timeout" and number.isdecimal():
-                    return int(number) * _IDLE_PART
-    return _IDLE_S
+                    return int(number) * _IDLE_TIMEOUT_FRACTION
+    return _DEFAULT_IDLE_TIMEOUT_S
 
 
 class HttpClient:
-    """Exchange requests with servers, keeping idle connections for reuse.
+    """Send requests to servers and keep idle connections for reuse.
 
     Parameters
     ----------
     connect_timeout
-        Milliseconds until an attempt to connect is given up.
+        Milliseconds until an attempt to connect fails.
     """
 
     def __init__(self, connect_timeout: Millis = SECOND) -> None:
@@ -258,21 +266,21 @@
         idle = self._idle[address]
         while idle:
             connection = idle.pop()
-            if connection.wake():
+            if connection.try_reuse():
                 return connection
             connection.close()
         try:
-            made = await _open(address, self._connect_timeout)
+            opened = await _open_connection(address, self._connect_timeout)
         except (OSError, TimeoutError) as error:
             raise ExchangeError(f"can't connect to {address}", False) from error
-        return made
+        return opened
 
     def _release(
-        self, address: Address, connection: _Connection, idle_s: float
+        self, address: Address, connection: _Connection, idle_timeout_s: float
     ) -> None:
         idle = self._idle[address]
-        if len(idle) < _IDLE_PER_ADDRESS and connection.reset():
-            connection.idle_until = time.monotonic() + idle_s
+        if len(idle) < _MAX_IDLE_PER_ADDRESS and connection.reset():
+            connection.idle_until = time.monotonic() + idle_timeout_s
             idle.append(connection)
         else:
             connection.close()
@@ -288,22 +296,23 @@
         timeout: Millis | None = None,
         host: str | None = None,
     ) -> AsyncIterator[Response]:
-        """Send a request and give its answer once the head has arrived.
+        """Send a request and yield its answer once the head has arrived.
 
-        Leaving the block before the body's end closes the connection, which is
-        how a server learns that nobody waits any more.
+        Leaving the block before the end of the body closes the connection, which
+        tells the server that the answer is no longer needed.
 
         Parameters
         ----------
         timeout
-            Milliseconds until the head of the answer must have arrived.
+            Milliseconds within which the head of the answer must arrive.
         host
-            Name to ask for; the address where it is left out.
+            Value of the Host header; the address if omitted.
 
         Raises
         ------
         ExchangeError
-            With ``sent`` False when the request provably never left.
+            If the exchange fails; ``sent`` is False if no byte of the request
+            was sent.
         """
         connection = await self._connect(address)
         fields = [("host", host or str(address)), *(headers or [])]
@@ -324,7 +333,9 @@
             raise ExchangeError(f"{address} did not answer in time", True) from error
         except (OSError, h11.ProtocolError, RuntimeError, AssertionError) as error:
             connection.close()
-            raise ExchangeError(f"{address} broke off: {error}", True) from error
+            raise ExchangeError(
+                f"the exchange with {address} failed: {error}", True
+            ) from error
         except asyncio.CancelledError:
             connection.close()
             raise
@@ -332,8 +343,8 @@
             yield response
         finally:
             if response.whole:
-                idle_s = _read_idle_span(response.headers)
-                self._release(address, connection, idle_s)
+                idle_timeout_s = _read_idle_timeout(response.headers)
+                self._release(address, connection, idle_timeout_s)
             else:
                 connection.close()
 
@@ -346,24 +357,24 @@
         body: bytes = b"",
         timeout: Millis | None = None,
     ) -> HttpAnswer:
-        """Send a request and return its whole answer within one timeout."""
+        """Send a request and return the complete answer within one timeout."""
         try:
             async with (
                 asyncio.timeout(timeout / SECOND if timeout else None),
                 self.exchange(address, method, path, headers, body) as response,
             ):
-                whole = await response.read()
-                return HttpAnswer(response.status, response.headers, whole)
+                content = await response.read()
+                return HttpAnswer(response.status, response.headers, content)
         except TimeoutError as error:
             raise ExchangeError(f"{address} did not answer in time", True) from error
 
     async def check(self, address: Address, timeout: Millis) -> bool:
-        """Tell whether a server still accepts connections."""
+        """Return whether a server accepts connections."""
         try:
-            made = await _open(address, timeout)
+            opened = await _open_connection(address, timeout)
         except (OSError, TimeoutError):
             return False
-        made.close()
+        opened.close()
         return True
 
     def forget(self, address: Address) -> None:
@@ -372,7 +383,7 @@
             connection.close()
 
     def close(self) -> None:
-        """Close the idle connections."""
+        """Close all idle connections."""
         for idle in self._idle.values():
             for connection in idle:
                 connection.close()
--- a/anvilshift/wire/events.py
+++ b/anvilshift/wire/events.py
@@ -14,13 +14,13 @@
 
 @dataclass(frozen=True)
 class Event:
-    """One event: its data, and its id where it has one."""
+    """A server-sent event: its data, and its id if it has one."""
 
     data: str
     id: str | None = None
 
     def encode(self) -> bytes:
-        r"""Return the event as it stands on the wire.
+        r"""Return the event in the wire format.
 
         Examples
         --------
@@ -33,7 +33,7 @@
 
 
 class EventReader:
-    r"""Cut a byte stream into events.
+    r"""Split a byte stream into events.
 
     Examples
     --------
@@ -45,36 +45,36 @@
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take bytes and return the events that are whole now.
+        """Add bytes and return the events that they complete.
 
         Raises
         ------
         AnvilshiftError
-            Code 4001 when an event is over the limit or isn't UTF-8.
+            Code 4001 if an event exceeds the size limit or isn't valid UTF-8.
         """
-        buffer = (self._rest + data).replace(b"\r\n", b"\n")
-        *blocks, self._rest = buffer.split(b"\n\n")
-        if len(self._rest) > _MAX_EVENT_BYTES:
-            raise AnvilshiftError(ENGINE_FAILED, "an event is over the limit")
+        buffer = (self._incomplete + data).replace(b"\r\n", b"\n")
+        *blocks, self._incomplete = buffer.split(b"\n\n")
+        if len(self._incomplete) > _MAX_EVENT_BYTES:
+            raise AnvilshiftError(ENGINE_FAILED, "an event exceeds the size limit")
         events = [_parse(block) for block in blocks]
         return [event for event in events if event is not None]
 
 
 def _parse(block: bytes) -> Event | None:
     data: list[str] = []
-    identity: str | None = None
+    event_id: str | None = None
     try:
         text = block.decode()
     except UnicodeDecodeError as error:
-        raise AnvilshiftError(ENGINE_FAILED, "an event is not UTF-8") from error
+        raise AnvilshiftError(ENGINE_FAILED, "an event is not valid UTF-8") from error
     for line in text.split("\n"):
         field, _, value = line.partition(":")
         value = value.removeprefix(" ")
         if field == "data":
             data.append(value)
         elif field == "id":
-            identity = value
-    return Event("\n".join(data), identity) if data else None
+            event_id = value
+    return Event("\n".join(data), event_id) if data else None
--- a/anvilshift/wire/jsons.py
+++ b/anvilshift/wire/jsons.py
@@ -1,4 +1,4 @@
-"""Read and write JSON with one set of rules."""
+"""Read and write JSON with the same rules everywhere in the package."""
 
 import json
 from typing import Any
@@ -7,7 +7,7 @@
 
 
 def dump_json(value: Any) -> bytes:
-    """Return compact JSON.
+    """Return a value as JSON without whitespace between tokens.
 
     Examples
     --------
@@ -18,26 +18,32 @@
 
 
 def parse_json(data: bytes) -> Any:
-    """Read JSON, refusing what is malformed, too deep or not a number.
+    """Parse JSON; reject malformed or too deeply nested input, and NaN and Infinity.
 
     Raises
     ------
     AnvilshiftError
-        Code 1001 when the bytes are no JSON.
+        Code 1001 if the bytes are not valid JSON.
     """
     try:
-        return json.loads(data, parse_constant=_refuse_constant)
+        return json.loads(data, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
         raise AnvilshiftError(MALFORMED, "the body is not valid JSON") from error
 
 
 def parse_object(data: bytes) -> dict[str, Any]:
-    """Read JSON that must be an object."""
+    """Parse JSON that must be an object.
+
+    Raises
+    ------
+    AnvilshiftError
+        Code 1001 if the bytes are not valid JSON or hold another type.
+    """
     value = parse_json(data)
     if not isinstance(value, dict):
         raise AnvilshiftError(MALFORMED, "the body is not a JSON object")
     return value
 
 
-def _refuse_constant(name: str) -> None:
-    raise ValueError(f"{name} is not JSON")
+def _reject_constant(name: str) -> None:
+    raise ValueError(f"{name} is not valid JSON")
--- a/anvilshift/wire/messages.py
+++ b/anvilshift/wire/messages.py
@@ -1,4 +1,4 @@
-"""Immutable HTTP messages and limits, shared by the server and the client."""
+"""HTTP messages, limits and socket settings shared by the server and the client."""
 
 import asyncio
 import socket
@@ -10,37 +10,39 @@
 from anvilshift.core.errors import MALFORMED, AnvilshiftError
 
 RECEIVE_BUFFER = memoryview(bytearray(64 * 1024))
-"""Where sockets of the one loop put what arrives, to be copied out at once.
+"""Receive buffer shared by all connections of the event loop.
 
-A stream hands each connection a fresh 256 KB buffer for a token of 100 bytes,
-which costs more than the read itself.
+Each connection copies its data out before the loop reads the next socket.  An
+asyncio stream allocates a new 256 KB buffer for each read, which for a token of
+100 bytes costs more than the read itself.
 """
 
 
-_PROBE_AFTER_S = 1
-_PROBE_EVERY_S = 1
-_PROBES = 3
-_UNACKNOWLEDGED_MS = 3_000
-"""A host that lost power or was partitioned sends no reset: without probes and a
-bound on unacknowledged bytes a connection to it hangs for minutes.  Three seconds
-outlast a few lost packets and end well before callers give up."""
+_KEEPALIVE_IDLE_S = 1
+_KEEPALIVE_INTERVAL_S = 1
+_KEEPALIVE_PROBES = 3
+_USER_TIMEOUT_MS = 3_000
+"""A host that lost power or is partitioned sends no TCP reset.  Without keepalive
+probes and a limit on the time that data may stay unacknowledged, a connection to it
+hangs for minutes.  Three seconds tolerate a few lost packets and are well below the
+time after which callers give up."""
 
 
 def tune_socket(transport: asyncio.BaseTransport) -> None:
-    """Make a connection notice within seconds that its peer is gone."""
+    """Set TCP timeouts so that an unreachable peer is detected within seconds."""
     sock = transport.get_extra_info("socket")
     if sock is None or sock.family not in (socket.AF_INET, socket.AF_INET6):
         return
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _PROBE_AFTER_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _PROBE_EVERY_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBES)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS)
 
 
 @dataclass(frozen=True)
 class Address:
-    """An IP number and a port.
+    """An IP address and a port.
 
     Examples
     --------
@@ -55,7 +57,7 @@
 
     @classmethod
     def parse(cls, text: str) -> "Address":
-        """Read an address written as ``ip:port``; IPv6 stands in brackets."""
+        """Parse an address of the form ``ip:port``; IPv6 addresses are in brackets."""
         ip, _, port = text.rpartition(":")
         if not ip or not port.isdigit():
             raise ValueError(f"{text!r} is not an address of the form ip:port")
@@ -67,7 +69,7 @@
 
 
 class Headers:
-    """Header fields, found by name in any case.
+    """Header fields with case-insensitive names.
 
     Examples
     --------
@@ -83,14 +85,14 @@
 
     @classmethod
     def from_raw(cls, raw: Iterable[tuple[bytes, bytes]]) -> "Headers":
-        """Decode fields as h11 gives them."""
+        """Decode header fields from the byte pairs that h11 returns."""
         return cls((n.decode("latin-1"), v.decode("latin-1")) for n, v in raw)
 
     def get(self, name: str) -> str | None:
-        """Return the one value of a field, or None.
+        """Return the value of a field that may occur once, or None if absent.
 
-        A field that must be single is an attack or a fault when it is doubled:
-        two parties could each believe another value, so it is refused.
+        A repeated field is rejected: two servers could each act on a different
+        one of its values, which is a fault or an attack.
         """
         found = [value for key, value in self.pairs if key == name.lower()]
         if len(found) > 1:
@@ -99,9 +101,9 @@
 
 
 def list_hop_headers(headers: Headers) -> set[str]:
-    """Return the fields that a message's own connection header names.
+    """Return the lower-case names of the fields listed in the Connection header.
 
-    They concern one connection only, and a proxy must not pass them on.
+    These apply to a single connection, and a proxy must not forward them.
 
     References
     ----------
@@ -113,16 +115,16 @@
     ['close', 'x-hop']
     """
     return {
-        word.strip().lower()
+        option.strip().lower()
         for name, value in headers.pairs
         if name == "connection"
-        for word in value.split(",")
+        for option in value.split(",")
     }
 
 
 @dataclass(frozen=True)
 class HttpRequest:
-    """One whole request as a server received it."""
+    """A request that a server has received completely."""
 
     method: str
     target: str
@@ -131,18 +133,18 @@
 
     @property
     def path(self) -> str:
-        """Return the path without the query."""
+        """Return the path of the request target, without the query."""
         return urlsplit(self.target).path
 
     @property
     def query(self) -> dict[str, str]:
-        """Return the query's fields; the last of a doubled field counts."""
+        """Return the query parameters; of a repeated one, the last value."""
         return dict(parse_qsl(urlsplit(self.target).query))
 
 
 @dataclass(frozen=True)
 class HttpAnswer:
-    """One whole answer as a client received it."""
+    """An answer that a client has received completely."""
 
     status: int
     headers: Headers
@@ -151,18 +153,20 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """What a connection may cost before it is refused.
+    """Limits on the size and duration of the requests on a connection.
 
     Parameters
     ----------
     head_bytes, body_bytes
-        Largest request head and body.
+        Maximum size of a request's head and of its body.
     head_timeout, body_timeout
-        Milliseconds for the whole head, and for the whole body.
+        Milliseconds within which the complete head, and then the complete body,
+        must arrive.
     idle_timeout
-        Milliseconds that a connection may wait for its next request.
+        Milliseconds that a connection may be idle between requests.
     write_timeout
-        Milliseconds that a peer may leave a full write buffer unread.
+        Milliseconds that the write buffer may stay full because the peer does
+        not read.
     """
 
     head_bytes: int = 32 * 1024
@@ -181,7 +185,7 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """A short whole answer that a handler returns."""
+    """A complete answer, sent with a content length."""
 
     status: int = 200
     headers: Fields = field(default_factory=list)
--- a/anvilshift/wire/server.py
+++ b/anvilshift/wire/server.py
@@ -1,4 +1,4 @@
-"""Serve HTTP/1.1 on one loop: h11 reads and writes, this module moves bytes."""
+"""HTTP/1.1 server for asyncio; h11 parses requests and serialises answers."""
 
 import asyncio
 import contextlib
@@ -31,16 +31,16 @@
     tune_socket,
 )
 
-_PIPELINE_BYTES = 64 * 1024
-_HEAD_TOO_LARGE = 431
+_MAX_PIPELINED_BYTES = 64 * 1024
+_HEAD_TOO_LARGE_STATUS = 431
 
 
 class CallerGoneError(ConnectionError):
-    """The peer closed or stopped reading before its answer was whole."""
+    """The peer closed the connection or stopped reading before the answer ended."""
 
 
 class Responder:
-    """Write one answer, whole or in pieces."""
+    """Writes the answer to one request, in one call or in several."""
 
     def __init__(self, connection: "_Connection") -> None:
         self._connection = connection
@@ -48,18 +48,19 @@
         self.finished = False
 
     async def send(self, reply: Reply) -> None:
-        """Write a whole answer."""
+        """Write a complete answer."""
         length = ("content-length", str(len(reply.body)))
         await self.start(reply.status, [*reply.headers, length], hold=True)
         await self.finish(reply.body)
 
     async def start(self, status: int, headers: Fields, hold: bool = False) -> None:
-        """Write the head; without a content length the body is chunked.
+        """Write the head; the body is chunked if the head has no content length.
 
         Parameters
         ----------
         hold
-            Whether the head may go out with the next piece, in one packet.
+            Whether to send the head together with the next part of the answer,
+            in one packet.
         """
         self.started = True
         if self._connection.parting:
@@ -68,13 +69,13 @@
         self._connection.send(head, hold=hold)
 
     async def write(self, data: bytes) -> None:
-        """Write a piece of the body, waiting while the peer reads too slowly."""
+        """Write a part of the body; wait while the write buffer is full."""
         if data:
             self._connection.send(h11.Data(data=data))
         await self._connection.drain()
 
     async def finish(self, data: bytes = b"") -> None:
-        """End the body, with its last piece where there is one."""
+        """End the body, optionally with its last part."""
         self.finished = True
         if data:
             self._connection.send(h11.Data(data=data), hold=True)
@@ -82,7 +83,7 @@
         await self._connection.drain()
 
     def abort(self) -> None:
-        """Cut the connection, so that the peer sees an answer that isn't whole."""
+        """Abort the connection, so that the peer detects an incomplete answer."""
         self._connection.abort()
 
 
@@ -90,7 +91,7 @@
 
 
 def render_error(error: AnvilshiftError) -> Reply:
-    """Turn an error into the answer that callers see."""
+    """Return the answer that reports an error to the caller."""
     headers: Fields = [JSON_TYPE]
     body: dict[str, object] = {
         "code": error.code.number,
@@ -106,7 +107,7 @@
 
 
 class _Connection(asyncio.BufferedProtocol):
-    """One accepted connection."""
+    """An accepted connection; it handles one request at a time."""
 
     def __init__(self, server: "HttpServer") -> None:
         self._server = server
@@ -118,8 +119,8 @@
         self._task: asyncio.Task[None] | None = None
         self._head: h11.Request | None = None
         self._body = bytearray()
-        self._held = b""
-        self._gone = False
+        self._unsent = b""
+        self._closed = False
 
     def _make_parser(self) -> h11.Connection:
         head_bytes = self._limits.head_bytes
@@ -135,7 +136,7 @@
 
     @property
     def parting(self) -> bool:
-        """Tell whether this is the connection's last answer."""
+        """Return whether the server closes connections after their next answer."""
         return self._server.parting
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -146,7 +147,7 @@
         self._set_timer(self._limits.head_timeout)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._gone = True
+        self._closed = True
         self._writable.set()
         self._clear_timer()
         self._server.connections.discard(self)
@@ -168,14 +169,14 @@
     def buffer_updated(self, nbytes: int) -> None:
         self._h11.receive_data(bytes(RECEIVE_BUFFER[:nbytes]))
         if self.busy:
-            self._bound_pipeline()
+            self._limit_pipelining()
             return
         self._read_events()
 
-    def _bound_pipeline(self) -> None:
-        # A peer that pipelines without end would grow h11's buffer without
-        # bound while its first request runs; reading stops until that ends.
-        if len(self._h11.trailing_data[0]) > _PIPELINE_BYTES and self._transport:
+    def _limit_pipelining(self) -> None:
+        # Pipelined requests accumulate in h11's buffer while the current request
+        # is handled.  Reading is paused until it ends, to bound that buffer.
+        if len(self._h11.trailing_data[0]) > _MAX_PIPELINED_BYTES and self._transport:
             self._transport.pause_reading()
 
     def _read_events(self) -> None:
@@ -183,9 +184,9 @@
             try:
                 event = self._h11.next_event()
             except h11.RemoteProtocolError as error:
-                self._refuse(
+                self._reject(
                     TOO_LARGE
-                    if error.error_status_hint == _HEAD_TOO_LARGE
+                    if error.error_status_hint == _HEAD_TOO_LARGE_STATUS
                     else MALFORMED,
                     str(error),
                 )
@@ -198,7 +199,7 @@
             elif isinstance(event, h11.Data):
                 self._body += event.data
                 if len(self._body) > self._limits.body_bytes:
-                    self._refuse(TOO_LARGE, "the body is over the limit")
+                    self._reject(TOO_LARGE, "the body exceeds the size limit")
                     return
             elif isinstance(event, h11.EndOfMessage):
                 self._dispatch()
@@ -232,7 +233,7 @@
         finally:
             self._task = None
         if responder.finished:
-            self._begin_next()
+            self._start_next_request()
         else:
             self.abort()
 
@@ -243,8 +244,8 @@
         with contextlib.suppress(CallerGoneError, h11.LocalProtocolError):
             await responder.send(render_error(error))
 
-    def _begin_next(self) -> None:
-        if self._gone or self._transport is None:
+    def _start_next_request(self) -> None:
+        if self._closed or self._transport is None:
             return
         if self._server.stopping or self._h11.our_state is not h11.DONE:
             self._transport.close()
@@ -259,8 +260,8 @@
         self._set_timer(self._limits.idle_timeout)
         self._read_events()
 
-    def _refuse(self, code: Code, detail: str) -> None:
-        """Answer a request that could not be read, then close."""
+    def _reject(self, code: Code, detail: str) -> None:
+        """Answer a request that was not received completely, and close."""
         self._clear_timer()
         reply = render_error(AnvilshiftError(code, detail))
         length = ("content-length", str(len(reply.body)))
@@ -275,12 +276,12 @@
             self._transport.close()
 
     def send(self, event: h11.Event, hold: bool = False) -> None:
-        if self._gone or self._transport is None:
+        if self._closed or self._transport is None:
             raise CallerGoneError("the caller closed the connection")
-        self._held += self._h11.send(event) or b""
-        if self._held and not hold:
-            self._transport.write(self._held)
-            self._held = b""
+        self._unsent += self._h11.send(event) or b""
+        if self._unsent and not hold:
+            self._transport.write(self._unsent)
+            self._unsent = b""
 
     async def drain(self) -> None:
         if self._writable.is_set():
@@ -289,11 +290,11 @@
         try:
             await asyncio.wait_for(self._writable.wait(), timeout)
         except TimeoutError:
-            # A caller that stops reading would hold its buffer and its engine
-            # slot for ever; it is cut so that both are freed.
+            # A caller that stops reading would occupy its buffer and its engine
+            # slot indefinitely.  Aborting the connection frees both.
             self.abort()
             raise CallerGoneError("the caller stopped reading") from None
-        if self._gone:
+        if self._closed:
             raise CallerGoneError("the caller closed the connection")
 
     def abort(self) -> None:
@@ -304,39 +305,40 @@
         if not self.busy and self._transport is not None:
             self._transport.close()
 
-    def _set_timer(self, span: Millis) -> None:
+    def _set_timer(self, delay: Millis) -> None:
         self._clear_timer()
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(span / SECOND, self._time_out)
+        self._timer = loop.call_later(delay / SECOND, self._handle_timeout)
 
     def _clear_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _time_out(self) -> None:
+    def _handle_timeout(self) -> None:
         idle = self._head is None and not self._h11.trailing_data[0]
         if idle and self._transport is not None:
             self._transport.close()
         else:
-            self._refuse(TOO_SLOW, "the request did not arrive in time")
+            self._reject(TOO_SLOW, "the request did not arrive in time")
 
 
 class HttpServer:
-    """Listen on one address and hand each whole request to a handler.
+    """Listens on one address and passes each complete request to a handler.
 
     Parameters
     ----------
     handler
-        Coroutine that answers a request; an `AnvilshiftError` that it raises
-        becomes the answer, as long as none was begun.
+        Coroutine function that answers a request.  If it raises an
+        `AnvilshiftError` before it starts the answer, that error is the answer.
     limits
-        What a connection may cost.
+        Limits on the size and duration of requests.
 
     Attributes
     ----------
     parting
-        Whether each answer asks its caller to connect anew, elsewhere.
+        Whether answers carry ``connection: close``, so that callers connect to
+        another router.
     """
 
     def __init__(self, handler: Handler, limits: Limits = DEFAULT_LIMITS) -> None:
@@ -348,7 +350,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, address: Address) -> Address:
-        """Listen, and return the address; port 0 takes a free one."""
+        """Start listening and return the address; port 0 selects a free port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _Connection(self), address.ip, address.port, backlog=1024
@@ -357,13 +359,13 @@
 
     @property
     def port(self) -> int:
-        """Return the port on which this server listens."""
+        """Return the port on which the server listens."""
         assert self._server is not None
         port: int = self._server.sockets[0].getsockname()[1]
         return port
 
     def stop_listening(self) -> None:
-        """Accept no new connection; those that are open go on."""
+        """Stop accepting connections and close idle ones; requests continue."""
         self.stopping = True
         if self._server is not None:
             self._server.close()
@@ -371,7 +373,7 @@
             connection.close_idle()
 
     async def close(self) -> None:
-        """Stop listening and cut every connection."""
+        """Stop listening and abort every connection."""
         self.stop_listening()
         for connection in list(self.connections):
             connection.abort()
