--- a/anvilshift/client/__init__.py
+++ b/anvilshift/client/__init__.py
@@ -1,1 +1,1 @@
-"""Provide the caller's library."""
+"""Client library for callers of the fleet."""
--- a/anvilshift/client/client.py
+++ b/anvilshift/client/client.py
@@ -1,4 +1,4 @@
-"""Call the fleet: look addresses up, connect, retry with one key, resume."""
+"""Client of the fleet: address lookup, retries with one key, resumed streams."""
 
 import asyncio
 import contextlib
@@ -10,13 +10,13 @@
 from typing import Any, TypeVar
 
 from anvilshift.client.failures import (
-    ELSEWHERE_CODES,
-    LEAVING_CODES,
+    DRAINING_CODES,
     NOT_RUN,
+    ROUTER_SPECIFIC_CODES,
     UNKNOWN,
     CallError,
     Outcome,
-    is_worth_retry,
+    is_retryable,
     read_error,
 )
 from anvilshift.core.backoff import Backoff
@@ -30,24 +30,26 @@
 Result = TypeVar("Result")
 _LOOKUP_TIMEOUT: Millis = 1 * SECOND
 _DEFAULT_DEADLINE: Millis = 30 * SECOND
-_STALL: Millis = 1 * SECOND
-_AVOID: Millis = 2 * SECOND
-"""How long an address that failed is left alone, and beyond the time at which one that
-refused says to come back."""
-"""Silence after which a router is asked whether it still answers.  One that is
-paused keeps its connections open, and nothing else would tell."""
+_STALL_TIMEOUT: Millis = 1 * SECOND
+"""Time without data after which the client checks that the router still answers.  A
+paused router keeps its connections open, so nothing else would reveal the pause."""
+_AVOID_TIME: Millis = 2 * SECOND
+"""Time for which an address is not chosen after a failure.  After a refusal it is added
+to the time after which the router asks to be tried again."""
 
 
 @dataclass(frozen=True)
 class Conversation:
-    """What is asked of a model.
+    """A model request of a caller.
 
     Parameters
     ----------
     deadline
-        Milliseconds from now until the answer must be whole.
+        Milliseconds from the call until the answer must be complete.
+    key
+        Idempotency key of every attempt; a random one by default.
     non_idempotent
-        Whether the work must run at most once; it is then sent with a key.
+        Whether the work must run at most once; sent to the router in a header.
     """
 
     model: str
@@ -58,7 +60,7 @@
     non_idempotent: bool = False
 
     def make_body(self, received: str) -> bytes:
-        """Return the request's JSON, with what has been received of the answer."""
+        """Return the request as JSON, with the part of the answer already received."""
         body: dict[str, Any] = {
             "model": self.model,
             "messages": self.messages,
@@ -71,23 +73,23 @@
 
 
 def _read_text(data: str) -> str:
-    """Return the text of one event of a stream."""
+    """Return the text of a stream event; raise the error that it carries, if any."""
     try:
         value = json.loads(data)
         if "error" in value:
             raise read_error(data.encode(), 200, UNKNOWN)
         return str(value["choices"][0]["delta"].get("content", ""))
     except (ValueError, KeyError, TypeError, IndexError, AttributeError) as error:
-        raise ExchangeError("an event of the stream can't be read", True) from error
+        raise ExchangeError("an event of the stream is malformed", True) from error
 
 
 class Client:
-    """A caller of the fleet.
+    """Client that calls the fleet and retries failed calls.
 
     Parameters
     ----------
     seeds
-        Addresses that are asked first for the addresses to use.
+        Addresses of routers for the first address lookup.
     token
         The organisation's credential.
     """
@@ -107,22 +109,22 @@
         self._http = http or HttpClient()
         self._backoff = Backoff()
         self._addresses: list[Address] = []
-        self._keep_until: Millis = 0.0
-        self._avoided: dict[Address, Millis] = {}
+        self._addresses_expire_at: Millis = 0.0
+        self._avoided_until: dict[Address, Millis] = {}
 
     @classmethod
     def from_config(cls, config: dict[str, Any]) -> "Client":
-        """Make a client from ``{"seeds": ["ip:port", …], "token": "…"}``."""
+        """Create a client from ``{"seeds": ["ip:port", …], "token": "…"}``."""
         seeds = [Address.parse(seed) for seed in config["seeds"]]
         return cls(seeds, str(config["token"]))
 
     async def look_up(self) -> list[Address]:
-        """Return the addresses to use, asking when the kept answer is too old."""
-        if self._addresses and self._clock.now() < self._keep_until:
+        """Return the routers' addresses; look them up if the cached ones expired."""
+        if self._addresses and self._clock.now() < self._addresses_expire_at:
             return self._addresses
-        asked = [*self._addresses, *self._seeds]
-        self._rng.shuffle(asked)
-        for address in asked:
+        candidates = [*self._addresses, *self._seeds]
+        self._rng.shuffle(candidates)
+        for address in candidates:
             try:
                 answer = await self._http.call(
                     address,
@@ -134,11 +136,14 @@
                 if answer.status == 200:
                     value = json.loads(answer.body)
                     found = [Address.parse(i["address"]) for i in value["addresses"]]
-                    # A router that is leaving and hears no other knows none.
+                    # A draining router that receives no heartbeats of other
+                    # routers returns an empty list.
                     if not found:
                         continue
                     self._addresses = found
-                    self._keep_until = self._clock.now() + float(value["keep_ms"])
+                    self._addresses_expire_at = self._clock.now() + float(
+                        value["keep_ms"]
+                    )
                     return self._addresses or self._seeds
                 if answer.status == 401:
                     raise read_error(answer.body, answer.status, NOT_RUN)
@@ -146,80 +151,82 @@
                 continue
         return self._addresses or self._seeds
 
-    async def _choose(self) -> Address:
-        """Return an address, one that did not just fail where there is one."""
+    async def _choose_address(self) -> Address:
+        """Return a random address; prefer those without a recent failure or refusal."""
         addresses = await self.look_up()
-        return self._rng.choice(self._list_others(addresses) or addresses)
+        return self._rng.choice(self._list_unavoided(addresses) or addresses)
 
-    def _list_others(self, addresses: list[Address]) -> list[Address]:
-        """Return the addresses that did not just fail or refuse."""
+    def _list_unavoided(self, addresses: list[Address]) -> list[Address]:
+        """Return the addresses without a recent failure or refusal."""
         now = self._clock.now()
-        return [a for a in addresses if self._avoided.get(a, now) <= now]
+        return [a for a in addresses if self._avoided_until.get(a, now) <= now]
 
-    async def _choose_by(self, until: Millis) -> Address:
-        """Return an address without asking for longer than there is time.
+    async def _choose_address_before(self, until: Millis) -> Address:
+        """Return an address; limit the address lookup to the time until the deadline.
 
-        With several routers paused, each look-up waits its whole timeout, and
-        their sum would keep the caller far past its deadline.
+        If several routers are paused, each lookup waits for its full timeout, and
+        the sum of these would delay the caller far beyond its deadline.
         """
-        left = max(0.0, until - self._clock.now())
+        remaining = max(0.0, until - self._clock.now())
         try:
-            async with asyncio.timeout(left / SECOND):
-                return await self._choose()
+            async with asyncio.timeout(remaining / SECOND):
+                return await self._choose_address()
         except TimeoutError:
             return self._rng.choice(self._addresses or self._seeds)
 
     def _mark_failed(self, address: Address) -> None:
-        self._avoided[address] = self._clock.now() + _AVOID
-        self._keep_until = 0.0
+        self._avoided_until[address] = self._clock.now() + _AVOID_TIME
+        self._addresses_expire_at = 0.0
 
-    def _take_refusal(self, address: Address, error: CallError) -> None:
-        """Take in what a router's refusal says of that router."""
-        if error.number in LEAVING_CODES:
+    def _record_refusal(self, address: Address, error: CallError) -> None:
+        """Avoid a router for a time if its refusal is specific to that router."""
+        if error.number in DRAINING_CODES:
             self._mark_failed(address)
-        elif error.number in ELSEWHERE_CODES:
-            span = _AVOID + (error.retry_after or 0.0)
-            self._avoided[address] = self._clock.now() + span
-
-    async def _pause(self, error: CallError, attempt: int, until: Millis) -> None:
-        """Wait before the next try, or raise when there is no time for one."""
-        elsewhere = error.number in ELSEWHERE_CODES
-        if elsewhere and self._list_others(self._addresses):
-            span = self._backoff.draw(0, self._rng)
+        elif error.number in ROUTER_SPECIFIC_CODES:
+            delay = _AVOID_TIME + (error.retry_after or 0.0)
+            self._avoided_until[address] = self._clock.now() + delay
+
+    async def _wait_before_retry(
+        self, error: CallError, attempt: int, until: Millis
+    ) -> None:
+        """Wait before the next attempt, or raise the error if the deadline is near."""
+        is_router_specific = error.number in ROUTER_SPECIFIC_CODES
+        if is_router_specific and self._list_unavoided(self._addresses):
+            delay = self._backoff.draw(0, self._rng)
         elif error.retry_after is not None:
-            span = error.retry_after * self._rng.uniform(1.0, 1.2)
+            delay = error.retry_after * self._rng.uniform(1.0, 1.2)
         else:
-            span = self._backoff.draw(attempt, self._rng)
-        if self._clock.now() + span >= until:
+            delay = self._backoff.draw(attempt, self._rng)
+        if self._clock.now() + delay >= until:
             raise error
-        await asyncio.sleep(span / SECOND)
+        await asyncio.sleep(delay / SECOND)
 
-    def _headers(self, key: str, until: Millis, non_idempotent: bool) -> Fields:
-        left = max(1.0, until - self._clock.now())
+    def _make_headers(self, key: str, until: Millis, non_idempotent: bool) -> Fields:
+        remaining = max(1.0, until - self._clock.now())
         headers: Fields = [
             JSON_TYPE,
             self._authorization,
             ("idempotency-key", key),
-            ("anvilshift-deadline-ms", f"{left:.0f}"),
+            ("anvilshift-deadline-ms", f"{remaining:.0f}"),
         ]
         if non_idempotent:
             headers.append(("anvilshift-non-idempotent", "true"))
         return headers
 
     async def stream(self, conversation: Conversation) -> AsyncIterator[str]:
-        """Yield an answer's text; each character once and in order.
+        """Yield the text of an answer, each character once and in order.
 
         Raises
         ------
         CallError
-            When no whole answer came before the deadline.
+            If no complete answer came before the deadline, or a retry can't succeed.
         """
         until = self._clock.now() + conversation.deadline
         received = ""
         attempt = 0
         outcome = Outcome()
         while True:
-            address = await self._choose_by(until)
+            address = await self._choose_address_before(until)
             try:
                 async for text in self._read(address, conversation, received, until):
                     received += text
@@ -231,10 +238,10 @@
                 failure = outcome.note(CallError(0, fate, str(error)))
             except CallError as error:
                 failure = outcome.note(error)
-                if not is_worth_retry(error):
+                if not is_retryable(error):
                     raise failure from error
-                self._take_refusal(address, error)
-            await self._pause(failure, attempt, until)
+                self._record_refusal(address, error)
+            await self._wait_before_retry(failure, attempt, until)
             attempt += 1
 
     async def _read(
@@ -244,23 +251,25 @@
         received: str,
         until: Millis,
     ) -> AsyncIterator[str]:
-        """Yield what one router sends on; raise unless the answer became whole."""
-        headers = self._headers(conversation.key, until, conversation.non_idempotent)
+        """Yield the text that a router sends; raise if the answer is incomplete."""
+        headers = self._make_headers(
+            conversation.key, until, conversation.non_idempotent
+        )
         if received:
             headers.append(("last-event-id", str(len(received))))
-        left = max(1.0, until - self._clock.now())
+        remaining = max(1.0, until - self._clock.now())
         async with contextlib.AsyncExitStack() as stack:
-            entering = stack.enter_async_context(
+            exchange = stack.enter_async_context(
                 self._http.exchange(
                     address,
                     "POST",
                     "/v1/chat/completions",
                     headers,
                     conversation.make_body(received),
-                    left,
+                    remaining,
                 )
             )
-            response = await self._watch(address, entering)
+            response = await self._await_answer(address, exchange)
             if response.status != 200:
                 body = await response.read()
                 raise read_error(body, response.status, UNKNOWN)
@@ -275,38 +284,38 @@
                     text = _read_text(event.data)
                     if text:
                         yield text
-        raise ExchangeError("the stream ended without its end mark", True)
+        raise ExchangeError("the stream ended without the end marker", True)
 
     async def _next_chunk(
         self, address: Address, response: Response, until: Millis
     ) -> bytes | None:
-        """Return the next piece of a body, None at its end.
+        """Return the next chunk of a body, or None at its end.
 
-        A router that is paused in mid-stream keeps its connection; without the
-        deadline here its caller would wait for as long as the pause lasts.
+        A router that is paused in mid-stream keeps its connection open; without
+        a deadline here the caller would wait until the pause ends.
         """
-        while (left := until - self._clock.now()) > 0:
+        while (remaining := until - self._clock.now()) > 0:
             try:
-                async with asyncio.timeout(min(left, _STALL) / SECOND):
+                async with asyncio.timeout(min(remaining, _STALL_TIMEOUT) / SECOND):
                     return await anext(response.chunks(), None)
             except TimeoutError:
-                await self._require_life(address)
+                await self._check_responsive(address)
         raise ExchangeError("the deadline passed in mid-stream", True)
 
-    async def _watch(
+    async def _await_answer(
         self, address: Address, work: Coroutine[Any, Any, Result]
     ) -> Result:
-        """Wait for an answer as long as its router lives."""
+        """Await an answer while the router still responds to address lookups."""
         task = asyncio.ensure_future(work)
         try:
-            while not (await asyncio.wait([task], timeout=_STALL / SECOND))[0]:
-                await self._require_life(address)
+            while not (await asyncio.wait([task], timeout=_STALL_TIMEOUT / SECOND))[0]:
+                await self._check_responsive(address)
             return task.result()
         finally:
             task.cancel()
 
-    async def _require_life(self, address: Address) -> None:
-        """Raise unless a router that has been silent answers a look-up."""
+    async def _check_responsive(self, address: Address) -> None:
+        """Raise `ExchangeError` unless a silent router answers an address lookup."""
         try:
             await self._http.call(
                 address,
@@ -319,7 +328,13 @@
             raise ExchangeError(f"{address} stopped answering", True) from error
 
     async def ask(self, conversation: Conversation) -> str:
-        """Return a whole answer."""
+        """Return the complete text of an answer.
+
+        Raises
+        ------
+        CallError
+            If no complete answer came before the deadline, or a retry can't succeed.
+        """
         return "".join([text async for text in self.stream(conversation)])
 
     async def call(
@@ -332,42 +347,47 @@
         non_idempotent: bool = False,
         deadline: Millis = _DEFAULT_DEADLINE,
     ) -> HttpAnswer:
-        """Call a plain service and return its whole answer.
+        """Call a plain service and return its complete answer.
 
         Raises
         ------
         CallError
-            When the fleet gave no answer of the service.
+            If the fleet returned no answer from the service.
         """
         until = self._clock.now() + deadline
         key = key or uuid.uuid4().hex
         attempt = 0
         outcome = Outcome()
         while True:
-            address = await self._choose_by(until)
-            headers = self._headers(key, until, non_idempotent)
-            left = max(1.0, until - self._clock.now())
+            address = await self._choose_address_before(until)
+            headers = self._make_headers(key, until, non_idempotent)
+            remaining = max(1.0, until - self._clock.now())
             try:
-                calling = self._http.call(
-                    address, method, f"/services/{route}{path}", headers, body, left
+                exchange = self._http.call(
+                    address,
+                    method,
+                    f"/services/{route}{path}",
+                    headers,
+                    body,
+                    remaining,
                 )
-                answer = await self._watch(address, calling)
+                answer = await self._await_answer(address, exchange)
                 if answer.headers.get("anvilshift-request") is not None:
                     return answer
                 error = read_error(answer.body, answer.status, UNKNOWN)
                 failure = outcome.note(error)
-                if not is_worth_retry(error):
+                if not is_retryable(error):
                     raise failure
-                self._take_refusal(address, error)
-            except ExchangeError as broken:
+                self._record_refusal(address, error)
+            except ExchangeError as exchange_error:
                 self._mark_failed(address)
-                fate = UNKNOWN if broken.sent else NOT_RUN
-                failure = outcome.note(CallError(0, fate, str(broken)))
-            await self._pause(failure, attempt, until)
+                fate = UNKNOWN if exchange_error.sent else NOT_RUN
+                failure = outcome.note(CallError(0, fate, str(exchange_error)))
+            await self._wait_before_retry(failure, attempt, until)
             attempt += 1
 
     def close(self) -> None:
-        """Close the idle connections."""
+        """Close all idle connections."""
         self._http.close()
 
 
--- a/anvilshift/client/failures.py
+++ b/anvilshift/client/failures.py
@@ -1,4 +1,4 @@
-"""What the callers' library tells of calls that got no whole answer."""
+"""Errors of calls that received no complete answer."""
 
 import json
 
@@ -6,27 +6,28 @@
 
 NOT_RUN = "not run"
 UNKNOWN = "unknown"
-LEAVING_CODES = (3004, 3005)
-"""Codes of a router that takes no new work; another address serves."""
-ELSEWHERE_CODES = (2002,)
-"""Codes of a router that can't serve the call now, where another may at once: one that
-drew no tokens before the platform went out refuses what others still answer."""
-_FINAL_CODES = range(1000, 2002)
-_FINAL_OTHERS = (3003, 4003)
-"""Codes that the same call would get again."""
+DRAINING_CODES = (3004, 3005)
+"""Codes of a router that accepts no new work; the client uses another address."""
+ROUTER_SPECIFIC_CODES = (2002,)
+"""Codes of a router that can't serve the call now although another router may: during
+a platform outage, a router that drew no tokens beforehand refuses calls that others
+still answer."""
+_FINAL_CODE_RANGE = range(1000, 2002)
+_OTHER_FINAL_CODES = (3003, 4003)
+"""Codes that a retry of the same call would receive again."""
 
 
 class CallError(Exception):
-    """A call that got no whole answer.
+    """A call that received no complete answer.
 
     Parameters
     ----------
     number
-        Result code; 0 when no router was reached.
+        Result code; 0 if no router answered with one.
     fate
-        What became of the work: ``not run``, ``ran`` or ``unknown``.
+        Whether the work ran: ``not run``, ``ran`` or ``unknown``.
     retry_after
-        Milliseconds until another try makes sense, if one does.
+        Milliseconds after which the call may be retried; None if not stated.
     """
 
     def __init__(
@@ -40,46 +41,48 @@
 
 
 class Outcome:
-    """What the caller of several sendings of one key may be told.
+    """Combined outcome of several attempts with the same key.
 
-    A router speaks for the sending that it answers.  Once an earlier one got
-    no answer, it may have run, and *not run* would invite the caller to place
-    the order again under a new key.
+    The fate in a router's answer concerns only the attempt that it answers.  If an
+    earlier attempt received no answer, its work may have run.  Reporting *not run*
+    would lead the caller to send it again under a new key, so that it runs twice.
     """
 
     def __init__(self) -> None:
-        self._unsure = False
+        self._may_have_run = False
 
     def note(self, error: CallError) -> CallError:
-        """Take in how a sending failed; return the error to raise."""
+        """Record the failure of an attempt and return the error to raise."""
         if error.fate != NOT_RUN:
-            self._unsure = True
-        elif self._unsure:
+            self._may_have_run = True
+        elif self._may_have_run:
             return CallError(error.number, UNKNOWN, error.detail, error.retry_after)
         return error
 
 
 def read_error(answer_body: bytes, status: int, fate: str) -> CallError:
-    """Return the error that a router's answer tells.
+    """Return the error that a router's answer reports.
 
     Parameters
     ----------
     fate
-        What to assume of the work where the answer doesn't say.
+        Fate of the work to assume if the answer doesn't state one.
     """
     try:
         error = json.loads(answer_body)["error"]
-        span = error.get("retry_after_ms")
+        delay = error.get("retry_after_ms")
         return CallError(
             int(error["code"]),
             str(error["fate"]),
             str(error["message"]),
-            float(span) if span is not None else None,
+            float(delay) if delay is not None else None,
         )
     except (ValueError, KeyError, TypeError, AttributeError):
         return CallError(0, fate, f"status {status}")
 
 
-def is_worth_retry(error: CallError) -> bool:
-    """Tell whether the same call can still succeed."""
-    return error.number not in _FINAL_CODES and error.number not in _FINAL_OTHERS
+def is_retryable(error: CallError) -> bool:
+    """Return whether a retry of the same call can succeed."""
+    return (
+        error.number not in _FINAL_CODE_RANGE and error.number not in _OTHER_FINAL_CODES
+    )
--- a/anvilshift/engines/engine.py
+++ b/anvilshift/engines/engine.py
@@ -120,7 +120,7 @@
 
 
 class Connector(Protocol):
-    """Creates the adapters of declared targets."""
+    """Factory of the adapters of declared targets."""
 
     def engine(self, engine: Engine) -> ModelEngine:
         """Return the adapter of a model engine."""
--- a/anvilshift/engines/http.py
+++ b/anvilshift/engines/http.py
@@ -127,7 +127,7 @@
             raise _convert_error(error) from error
         except ValueError as error:
             raise TargetError(
-                Failure.BROKE_OFF, f"the answer to {path} is not valid JSON"
+                Failure.BROKE_OFF, f"{path} answered invalid JSON"
             ) from error
 
     async def cancel(self, attempt: str) -> None:
@@ -230,7 +230,7 @@
             else None
         )
         if not isinstance(text, str):
-            raise TypeError("content is not a string")
+            raise TypeError("content is not text")
     except _PARSE_ERRORS as error:
         raise TargetError(
             Failure.BROKE_OFF, "an event of the stream is malformed"
@@ -258,7 +258,7 @@
 
 
 class HttpConnector:
-    """Creates adapters that share one HTTP client."""
+    """Factory of adapters that share one HTTP client."""
 
     def __init__(self, client: HttpClient) -> None:
         self._client = client
--- a/anvilshift/peers/__init__.py
+++ b/anvilshift/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Call other routers over grpclib."""
+"""gRPC calls between routers, with grpclib."""
--- a/anvilshift/peers/generate.py
+++ b/anvilshift/peers/generate.py
@@ -1,6 +1,6 @@
-"""Generate the messages and stubs of peers.proto; `make generate` runs this.
+"""Generate the Python messages and stubs of peers.proto, for `make generate`.
 
-The output is committed, so that a build needs no generator.
+The output is committed, so that a build doesn't need the generator.
 """
 
 import pathlib
@@ -13,7 +13,11 @@
 
 
 def run() -> int:
-    """Write the generated modules beside the proto file."""
+    """Write the generated modules to `OUTPUT` and return the exit code of protoc.
+
+    The generated stubs import the messages as a top-level module, which is replaced
+    by an import from this package.
+    """
     from grpc_tools import protoc
 
     arguments = [
--- a/anvilshift/peers/link.py
+++ b/anvilshift/peers/link.py
@@ -1,4 +1,4 @@
-"""Call other routers, and be called by them, over grpclib."""
+"""gRPC client and server for the calls between routers, on top of grpclib."""
 
 import asyncio
 from typing import Protocol
@@ -26,7 +26,7 @@
 
 _CALL_TIMEOUT: Millis = 1 * SECOND
 _STORE_TIMEOUT: Millis = 2.5 * SECOND
-"""The other router's own call of the platform may take two seconds."""
+"""The other router's call of the platform may itself take up to two seconds."""
 
 
 class PeerError(ConnectionError):
@@ -35,7 +35,7 @@
     Parameters
     ----------
     sent
-        Whether the call may have reached it.
+        Whether the call may have reached the other router.
     """
 
     def __init__(self, detail: str, sent: bool = True) -> None:
@@ -44,95 +44,95 @@
 
 
 class PeerLink(Protocol):
-    """Call other routers; every method raises `PeerError` without an answer."""
+    """Client for calls of other routers; each call raises `PeerError` on failure."""
 
     async def beat(self, address: str, beat: Heartbeat) -> Heartbeat:
-        """Exchange heartbeats."""
+        """Send this router's heartbeat and return the other router's."""
 
     async def keep(self, address: str, request: KeepRequest) -> KeepReply:
-        """Leave copies of bills."""
+        """Have another router keep copies of unrecorded bills."""
 
     async def give_back(self, address: str, request: GiveBackRequest) -> GiveBackReply:
-        """Ask for unused tokens to be given back."""
+        """Ask another router to return unused tokens of a budget to the platform."""
 
     async def call_store(self, address: str, request: StoreRequest) -> StoreReply:
-        """Have another router make a call of the platform."""
+        """Have another router call the platform's object API."""
 
     async def permit(self, address: str, request: PermitRequest) -> PermitReply:
-        """Ask for a permit."""
+        """Ask the issuer for a permit to send a request to a target."""
 
     async def relocate(self, address: str, request: RelocateRequest) -> RelocateReply:
-        """Take a step to send a content elsewhere than to its homes."""
+        """Ask for a step of the relocation of a content from its home targets."""
 
     def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
 
 
 class PeerHandler(Protocol):
-    """Answer other routers."""
+    """Handler of the calls of other routers."""
 
     async def take_beat(self, beat: Heartbeat) -> Heartbeat:
-        """Take in a heartbeat and return the own."""
+        """Process another router's heartbeat and return this router's."""
 
     async def take_copies(self, request: KeepRequest) -> KeepReply:
-        """Keep copies of another router's bills."""
+        """Keep copies of another router's unrecorded bills in memory."""
 
     async def take_give_back(self, request: GiveBackRequest) -> GiveBackReply:
-        """Give unused tokens of a budget back to the platform."""
+        """Return unused tokens of a budget to the platform."""
 
     async def take_call_store(self, request: StoreRequest) -> StoreReply:
-        """Make a call of the platform for another router."""
+        """Call the platform's object API for a router that can't reach it."""
 
     async def take_permit(self, request: PermitRequest) -> PermitReply:
-        """Issue a permit for a target that has named a limit."""
+        """Issue a permit to send a request to a target with a rate limit."""
 
     async def take_relocate(self, request: RelocateRequest) -> RelocateReply:
-        """Take part in sending a content elsewhere than to its homes."""
+        """Carry out a step of the relocation of a content from its home targets."""
 
 
 class GrpcPeerLink:
-    """Calls over grpclib, one channel a router.
+    """Client for calls of other routers over grpclib, with one channel per router.
 
     Parameters
     ----------
     timeout
-        Milliseconds that a call may take.
+        Milliseconds after which a call fails; `call_store` has its own timeout.
     """
 
     def __init__(self, timeout: Millis = _CALL_TIMEOUT) -> None:
         self._timeout = timeout
         self._channels: dict[str, Channel] = {}
 
-    def _stub(self, address: str) -> PeersStub:
+    def _get_stub(self, address: str) -> PeersStub:
         if address not in self._channels:
-            parsed = Address.parse(address)
-            self._channels[address] = Channel(parsed.ip, parsed.port)
+            endpoint = Address.parse(address)
+            self._channels[address] = Channel(endpoint.ip, endpoint.port)
         return PeersStub(self._channels[address])
 
     async def beat(self, address: str, beat: Heartbeat) -> Heartbeat:
-        """Exchange heartbeats."""
-        return await self._call(self._stub(address).Beat, beat)
+        """Send this router's heartbeat and return the other router's."""
+        return await self._call(self._get_stub(address).Beat, beat)
 
     async def keep(self, address: str, request: KeepRequest) -> KeepReply:
-        """Leave copies of bills."""
-        return await self._call(self._stub(address).Keep, request)
+        """Have another router keep copies of unrecorded bills."""
+        return await self._call(self._get_stub(address).Keep, request)
 
     async def give_back(self, address: str, request: GiveBackRequest) -> GiveBackReply:
-        """Ask for unused tokens to be given back."""
-        return await self._call(self._stub(address).GiveBack, request)
+        """Ask another router to return unused tokens of a budget to the platform."""
+        return await self._call(self._get_stub(address).GiveBack, request)
 
     async def call_store(self, address: str, request: StoreRequest) -> StoreReply:
-        """Have another router make a call of the platform."""
+        """Have another router call the platform's object API."""
         timeout = _STORE_TIMEOUT + request.wait_ms
-        return await self._call(self._stub(address).CallStore, request, timeout)
+        return await self._call(self._get_stub(address).CallStore, request, timeout)
 
     async def permit(self, address: str, request: PermitRequest) -> PermitReply:
-        """Ask for a permit."""
-        return await self._call(self._stub(address).TakePermit, request)
+        """Ask the issuer for a permit to send a request to a target."""
+        return await self._call(self._get_stub(address).TakePermit, request)
 
     async def relocate(self, address: str, request: RelocateRequest) -> RelocateReply:
-        """Take a step to send a content elsewhere than to its homes."""
-        return await self._call(self._stub(address).Relocate, request)
+        """Ask for a step of the relocation of a content from its home targets."""
+        return await self._call(self._get_stub(address).Relocate, request)
 
     async def _call(self, method, message, timeout=None):  # type: ignore[no-untyped-def]
         try:
@@ -150,14 +150,14 @@
             raise PeerError(str(error)) from error
 
     def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         for channel in self._channels.values():
             channel.close()
         self._channels.clear()
 
 
-class _Service(PeersBase):
-    """The generated service, handing each message to a handler."""
+class _PeersService(PeersBase):
+    """Implementation of the generated service that delegates calls to a handler."""
 
     def __init__(self, handler: PeerHandler) -> None:
         self._handler = handler
@@ -202,13 +202,13 @@
 
 
 class PeerServer:
-    """Listen to other routers."""
+    """Server for the calls of other routers."""
 
     def __init__(self, handler: PeerHandler) -> None:
-        self._server = Server([_Service(handler)])
+        self._server = Server([_PeersService(handler)])
 
     async def start(self, address: Address) -> None:
-        """Listen."""
+        """Start listening on an address."""
         await self._server.start(address.ip, address.port)
 
     def close(self) -> None:
--- a/anvilshift/wire/client.py
+++ b/anvilshift/wire/client.py
@@ -16,7 +16,7 @@
     Fields,
     Headers,
     HttpAnswer,
-    tune_socket,
+    set_tcp_timeouts,
 )
 
 _READ_AHEAD_BYTES = 256 * 1024
@@ -65,7 +65,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        tune_socket(transport)
+        set_tcp_timeouts(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
@@ -250,7 +250,7 @@
 
 
 class HttpClient:
-    """Send requests to servers and keep idle connections for reuse.
+    """HTTP client that keeps idle connections for reuse.
 
     Parameters
     ----------
@@ -334,7 +334,7 @@
         except (OSError, h11.ProtocolError, RuntimeError, AssertionError) as error:
             connection.close()
             raise ExchangeError(
-                f"the exchange with {address} failed: {error}", True
+                f"{address} failed during the exchange: {error}", True
             ) from error
         except asyncio.CancelledError:
             connection.close()
--- a/anvilshift/wire/events.py
+++ b/anvilshift/wire/events.py
@@ -33,7 +33,7 @@
 
 
 class EventReader:
-    r"""Split a byte stream into events.
+    r"""Incremental parser that splits a byte stream into events.
 
     Examples
     --------
--- a/anvilshift/wire/messages.py
+++ b/anvilshift/wire/messages.py
@@ -28,7 +28,7 @@
 time after which callers give up."""
 
 
-def tune_socket(transport: asyncio.BaseTransport) -> None:
+def set_tcp_timeouts(transport: asyncio.BaseTransport) -> None:
     """Set TCP timeouts so that an unreachable peer is detected within seconds."""
     sock = transport.get_extra_info("socket")
     if sock is None or sock.family not in (socket.AF_INET, socket.AF_INET6):
--- a/anvilshift/wire/server.py
+++ b/anvilshift/wire/server.py
@@ -28,7 +28,7 @@
     HttpRequest,
     Limits,
     Reply,
-    tune_socket,
+    set_tcp_timeouts,
 )
 
 _MAX_PIPELINED_BYTES = 64 * 1024
@@ -40,7 +40,7 @@
 
 
 class Responder:
-    """Writes the answer to one request, in one call or in several."""
+    """Writer of the answer to one request, in one call or in several."""
 
     def __init__(self, connection: "_Connection") -> None:
         self._connection = connection
@@ -142,7 +142,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        tune_socket(transport)
+        set_tcp_timeouts(transport)
         self._server.connections.add(self)
         self._set_timer(self._limits.head_timeout)
 
@@ -324,7 +324,7 @@
 
 
 class HttpServer:
-    """Listens on one address and passes each complete request to a handler.
+    """Server that listens on an address and passes each request to a handler.
 
     Parameters
     ----------
--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -1,4 +1,4 @@
-"""The caller's library: what it may say of work that it sent more than once."""
+"""Tests of the client library: retries, reported fates and paused routers."""
 
 import asyncio
 import unittest
@@ -9,17 +9,19 @@
 from anvilshift.wire.messages import JSON_TYPE, Address, HttpRequest, Reply
 from anvilshift.wire.server import HttpServer, Responder
 
-ANY = Address("127.0.0.1", 0)
-ASKED = Conversation("m", [{"role": "user", "content": "tank"}], 8, deadline=4_000.0)
+ANY_PORT = Address("127.0.0.1", 0)
+CONVERSATION = Conversation(
+    "m", [{"role": "user", "content": "tank"}], 8, deadline=4_000.0
+)
 
 
 class ClientTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.steps = []
-        self.silent = False
+        self.handlers = []
+        self.paused = False
         self.server = HttpServer(self.handle)
-        self.address = await self.server.start(ANY)
-        self.given = [{"address": str(self.address)}]
+        self.address = await self.server.start(ANY_PORT)
+        self.listed_addresses = [{"address": str(self.address)}]
         self.client = Client([self.address], "token")
 
     async def asyncTearDown(self):
@@ -27,45 +29,46 @@
         await self.server.close()
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
-        if self.silent:
+        if self.paused:
             await asyncio.Event().wait()
         if request.path == "/v1/addresses":
-            found = {"addresses": self.given, "keep_ms": 1e6}
+            found = {"addresses": self.listed_addresses, "keep_ms": 1e6}
             await responder.send(Reply(200, [JSON_TYPE], dump_json(found)))
             return
-        await self.steps.pop(0)(responder)
+        await self.handlers.pop(0)(responder)
 
-    async def cut(self, responder: Responder) -> None:
+    async def abort_connection(self, responder: Responder) -> None:
         responder.abort()
 
-    async def refuse(self, responder: Responder) -> None:
+    async def refuse_draining(self, responder: Responder) -> None:
         raise AnvilshiftError(DRAINING, "", 9_000.0)
 
-    async def fall_silent(self, responder: Responder) -> None:
+    async def pause_in_stream(self, responder: Responder) -> None:
         await responder.start(200, [])
         await responder.write(b'data: {"choices":[{"delta":{"content":"a"}}]}\n\n')
-        self.silent = True
+        self.paused = True
         await asyncio.Event().wait()
 
-    async def garble(self, responder: Responder) -> None:
+    async def send_malformed_event(self, responder: Responder) -> None:
         await responder.start(200, [])
         await responder.write(b"data: {]\n\n")
         await responder.finish()
 
-    async def test_router_that_knows_no_address_is_no_dead_end(self):
-        """The one router that answers is leaving and hears no other: its answer
-        to the look-up is empty.
+    async def test_empty_lookup_answer_falls_back_to_the_seeds(self):
+        """The only router that answers is draining and receives no heartbeats of
+        others, so its answer to the address lookup is empty.
         """
-        self.given = []
+        self.listed_addresses = []
         self.assertEqual(await self.client.look_up(), [self.address])
 
-    async def test_order_that_may_have_run_is_never_told_not_run(self):
-        """The first sending is cut off; the second is refused by a drain.
+    async def test_work_that_may_have_run_is_not_reported_as_not_run(self):
+        """The first attempt loses its connection; a draining router refuses the second.
 
-        The refusal says *not run* of itself.  Told so, the clerk would place
-        the order again under a new key, and two trucks would leave.
+        The refusal's *not run* concerns the second attempt only.  If the client
+        reported it, the caller would send the work again under a new key, and it
+        could run twice.
         """
-        self.steps = [self.cut, self.refuse]
+        self.handlers = [self.abort_connection, self.refuse_draining]
         with self.assertRaises(CallError) as caught:
             await self.client.call(
                 "book", "/runs", non_idempotent=True, deadline=4_000.0
@@ -74,8 +77,8 @@
             (caught.exception.number, caught.exception.fate), (3004, "unknown")
         )
 
-    async def test_first_refusal_is_told_not_run(self):
-        self.steps = [self.refuse]
+    async def test_refusal_of_the_first_attempt_is_reported_as_not_run(self):
+        self.handlers = [self.refuse_draining]
         with self.assertRaises(CallError) as caught:
             await self.client.call(
                 "book", "/runs", non_idempotent=True, deadline=4_000.0
@@ -83,30 +86,30 @@
         self.assertEqual(caught.exception.fate, "not run")
         self.assertEqual(caught.exception.retry_after, 9_000.0)
 
-    async def test_paused_router_is_left_before_the_deadline(self):
-        """A router is paused in mid-stream; its connection stays open."""
-        self.steps = [self.fall_silent]
+    async def test_paused_router_is_abandoned_before_the_deadline(self):
+        """A router is paused in mid-stream, and its connection stays open."""
+        self.handlers = [self.pause_in_stream]
         texts = []
         with self.assertRaises(CallError) as caught:
             async with asyncio.timeout(10):
-                async for text in self.client.stream(ASKED):
+                async for text in self.client.stream(CONVERSATION):
                     texts.append(text)
         self.assertEqual((texts, caught.exception.fate), (["a"], "unknown"))
 
     async def test_router_that_can_still_spend_is_found_at_once(self):
-        """Guards against callers sent back and forth between routers without tokens."""
-        others = [HttpServer(self.handle_without_tokens) for _ in range(3)]
+        """Guards against clients that alternate between routers without tokens."""
+        others = [HttpServer(self.refuse_without_tokens) for _ in range(3)]
         for server in others:
             self.addAsyncCleanup(server.close)
-            self.given.append({"address": str(await server.start(ANY))})
+            self.listed_addresses.append({"address": str(await server.start(ANY_PORT))})
         for _ in range(8):
-            self.steps = [self.answer]
+            self.handlers = [self.answer]
             client = Client([self.address], "token")
             self.addCleanup(client.close)
             async with asyncio.timeout(2):
-                self.assertEqual(await client.ask(ASKED), "a")
+                self.assertEqual(await client.ask(CONVERSATION), "a")
 
-    async def handle_without_tokens(self, request, responder):
+    async def refuse_without_tokens(self, request, responder):
         raise AnvilshiftError(BUDGET_UNREACHABLE, "", 2_000.0)
 
     async def answer(self, responder: Responder) -> None:
@@ -115,8 +118,8 @@
         await responder.write(b"data: [DONE]\n\n")
         await responder.finish()
 
-    async def test_unreadable_stream_is_tried_again(self):
-        self.steps = [self.garble, self.refuse]
+    async def test_malformed_stream_is_retried(self):
+        self.handlers = [self.send_malformed_event, self.refuse_draining]
         with self.assertRaises(CallError) as caught:
-            await self.client.ask(ASKED)
+            await self.client.ask(CONVERSATION)
         self.assertEqual(caught.exception.number, 3004)
--- a/tests/wire/test_server.py
+++ b/tests/wire/test_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server and client against each other on loopback."""
+"""Tests of the HTTP server and the HTTP client, connected over loopback."""
 
 import asyncio
 import unittest
@@ -14,7 +14,7 @@
 class ServerTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.client = HttpClient()
-        self.gone = asyncio.Event()
+        self.handler_ended = asyncio.Event()
         limits = Limits(head_bytes=2048, body_bytes=1024, head_timeout=200.0)
         self.server = HttpServer(self.handle, limits)
         self.address = await self.server.start(LOOPBACK)
@@ -32,30 +32,30 @@
                 await responder.write(b"first")
                 await asyncio.Event().wait()
             finally:
-                self.gone.set()
+                self.handler_ended.set()
         await responder.send(Reply(200, [], request.body))
 
-    async def test_connection_is_used_again(self):
+    async def test_connection_is_reused(self):
         for body in (b"one", b"two"):
             answer = await self.client.call(self.address, "POST", "/", body=body)
             self.assertEqual(answer.body, body)
         self.assertEqual(len(self.server.connections), 1)
 
-    async def test_refusal_says_when_to_come_back(self):
+    async def test_refusal_carries_retry_after(self):
         answer = await self.client.call(self.address, "GET", "/refuse")
         self.assertEqual(answer.status, 503)
         self.assertEqual(answer.headers.get("retry-after"), "2")
         self.assertIn(b'"fate":"not run"', answer.body)
 
-    async def test_leaving_early_tells_the_handler(self):
+    async def test_client_disconnect_cancels_the_handler(self):
         async with self.client.exchange(self.address, "GET", "/hang") as response:
             async for chunk in response.chunks():
                 self.assertEqual(chunk, b"first")
                 break
         async with asyncio.timeout(5):
-            await self.gone.wait()
+            await self.handler_ended.wait()
 
-    async def test_connection_refused_was_provably_not_sent(self):
+    async def test_refused_connection_is_reported_as_not_sent(self):
         await self.server.close()
         with self.assertRaises(ExchangeError) as caught:
             await self.client.call(self.address, "GET", "/")
@@ -70,35 +70,35 @@
         writer.close()
         return answer
 
-    async def test_malformed_request_gets_a_numbered_answer(self):
+    async def test_malformed_request_is_answered_with_its_code(self):
         answer = await self.send_raw(b"nonsense\r\n\r\n")
         self.assertIn(b"400", answer.splitlines()[0])
         self.assertIn(b'"code":1001', answer)
 
-    async def test_oversized_body_gets_a_numbered_answer(self):
+    async def test_oversized_body_is_answered_with_its_code(self):
         head = b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5000\r\n\r\n"
         answer = await self.send_raw(head + b"x" * 5000)
         self.assertIn(b'"code":1002', answer)
 
-    async def test_slow_sender_is_cut(self):
+    async def test_slow_request_times_out(self):
         answer = await self.send_raw(b"POST / HTTP/1.1\r\nHost:")
         self.assertIn(b'"code":1003', answer)
 
 
 class PooledConnectionTest(unittest.IsolatedAsyncioTestCase):
-    async def test_bytes_nobody_asked_for_answer_no_later_request(self):
-        """An engine answers one request twice; the second comes a little late.
+    async def test_unsolicited_bytes_are_not_read_as_a_later_answer(self):
+        """An engine sends a second answer to a request after a short delay.
 
-        The connection was kept for reuse, and the next caller's request would
-        be answered by the bytes that lay there.
+        The connection is idle in the pool by then, and the next caller would
+        receive that answer to its own request.
         """
-        answered = asyncio.Event()
+        send_second = asyncio.Event()
 
         async def serve(reader, writer):
             head = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n"
             await reader.readuntil(b"\r\n\r\n")
             writer.write(head + b"one")
-            await answered.wait()
+            await send_second.wait()
             writer.write(head + b"bad")
             served.set()
             await reader.read()
@@ -110,11 +110,11 @@
         client = HttpClient()
         first = await client.call(address, "GET", "/")
         self.assertEqual(first.body, b"one")
-        kept = client._idle[address][0]
-        answered.set()
+        pooled = client._idle[address][0]
+        send_second.set()
         await served.wait()
         async with asyncio.timeout(5):
-            while not kept.closed:
+            while not pooled.closed:
                 await asyncio.sleep(0)
         second = await client.call(address, "GET", "/")
         self.assertEqual(second.body, b"one")
