--- a/anvilshift/client/client.py
+++ b/anvilshift/client/client.py
@@ -235,9 +235,9 @@
             except ExchangeError as error:
                 self._mark_failed(address)
                 fate = UNKNOWN if error.sent else NOT_RUN
-                failure = outcome.note(CallError(0, fate, str(error)))
+                failure = outcome.record_failure(CallError(0, fate, str(error)))
             except CallError as error:
-                failure = outcome.note(error)
+                failure = outcome.record_failure(error)
                 if not is_retryable(error):
                     raise failure from error
                 self._record_refusal(address, error)
@@ -375,14 +375,16 @@
                 if answer.headers.get("anvilshift-request") is not None:
                     return answer
                 error = read_error(answer.body, answer.status, UNKNOWN)
-                failure = outcome.note(error)
+                failure = outcome.record_failure(error)
                 if not is_retryable(error):
                     raise failure
                 self._record_refusal(address, error)
             except ExchangeError as exchange_error:
                 self._mark_failed(address)
                 fate = UNKNOWN if exchange_error.sent else NOT_RUN
-                failure = outcome.note(CallError(0, fate, str(exchange_error)))
+                failure = outcome.record_failure(
+                    CallError(0, fate, str(exchange_error))
+                )
             await self._wait_before_retry(failure, attempt, until)
             attempt += 1
 
--- a/anvilshift/client/failures.py
+++ b/anvilshift/client/failures.py
@@ -51,7 +51,7 @@
     def __init__(self) -> None:
         self._may_have_run = False
 
-    def note(self, error: CallError) -> CallError:
+    def record_failure(self, error: CallError) -> CallError:
         """Record the failure of an attempt and return the error to raise."""
         if error.fate != NOT_RUN:
             self._may_have_run = True
