--- a/anvilshift/objects/__init__.py
+++ b/anvilshift/objects/__init__.py
@@ -1,1 +1,1 @@
-"""Read and write the platform's objects."""
+"""Access to the platform's objects: API client, ledgers, caching, rate limiting."""
--- a/anvilshift/objects/ledgers.py
+++ b/anvilshift/objects/ledgers.py
@@ -1,8 +1,8 @@
-"""Find, read and change the ledgers among the platform's objects.
+"""Ledgers stored as objects of the platform.
 
-Accounts are spread over a number of objects that is stored once and never
-changes: two routers that counted differently would keep two accounts of one
-budget.
+Accounts are sharded over a number of ledger objects.  The number is stored once
+and never changes: routers with different numbers would keep two accounts of the
+same budget.
 """
 
 import zlib
@@ -16,12 +16,12 @@
 LEDGER_NAME = "main"
 LAYOUT_KIND = "LedgerLayout"
 DEFAULT_SHARDS = 1
-"""One object: with five routers its contention costs less than the second
-write a round that a second object would cost each router (bench/budgets.py)."""
+"""With five routers, contention on one object costs less than the additional write
+per round that a second object costs each router (bench/budgets.py)."""
 
 
 def ledger_name(account: str, shards: int) -> str:
-    """Return the name of the object that keeps an account.
+    """Return the name of the ledger object that holds an account.
 
     Examples
     --------
@@ -34,14 +34,14 @@
 
 
 def list_names(shards: int) -> list[str]:
-    """Return the names of every ledger object."""
+    """Return the names of all ledger objects."""
     if shards == 1:
         return [LEDGER_NAME]
     return [f"{LEDGER_NAME}-{number}" for number in range(shards)]
 
 
 async def read_shards(store: ObjectStore, default: int = DEFAULT_SHARDS) -> int:
-    """Return the number of ledger objects, stored by whoever asks first."""
+    """Return the number of ledger objects; the first caller stores the default."""
     stored = await update(
         store,
         LAYOUT_KIND,
@@ -52,17 +52,17 @@
 
 
 def read_body(body: Body | None) -> Ledger:
-    """Return the ledger that a body holds; none is an empty one."""
+    """Return the ledger in an object's body; an empty ledger without a body."""
     return decode(Ledger, body) if body else Ledger()
 
 
 def change_body(change: Callable[[Ledger], Ledger]) -> Callable[[Body | None], Body]:
-    """Return a change of a ledger as a change of its body."""
+    """Return a function that applies a change of a ledger to an object's body."""
     return lambda body: encode(change(read_body(body)))
 
 
 async def top_up(store: ObjectStore, account: str, identity: str, tokens: int) -> int:
-    """Add prepaid tokens to an account once; return its total."""
+    """Add prepaid tokens to an account, once for each identity; return its total."""
     name = ledger_name(account, await read_shards(store))
     change = change_body(lambda ledger: ledger.top_up(account, identity, tokens))
     stored = await update(store, LEDGER_KIND, name, change)
@@ -70,7 +70,7 @@
 
 
 async def read_accounts(store: ObjectStore) -> dict[str, Account]:
-    """Return every account."""
+    """Return all accounts of all ledger objects, sorted by name."""
     accounts: dict[str, Account] = {}
     for item in (await store.list([LEDGER_KIND])).items:
         accounts.update(read_body(item.body).accounts)
--- a/anvilshift/objects/paced.py
+++ b/anvilshift/objects/paced.py
@@ -1,7 +1,7 @@
-"""Keep a router's calls of the platform within a rate, money first.
+"""Rate limit on a router's calls to the platform, with priority for ledgers.
 
-The platform's rates are shared by the fleet and grow more slowly than it.  In
-a burst a router would otherwise spend them on reads and watches while bills
+The fleet shares the platform's rate limits, which grow more slowly than the fleet.
+Without priorities, a burst of reads and watches would use up the rate while bills
 wait, and callers wait for their bills.
 """
 
@@ -21,19 +21,19 @@
     Stored,
 )
 
-MONEY_KINDS = frozenset({"Ledger", "LedgerLayout"})
-_MONEY, _STATE, _FOLLOWING = range(3)
+LEDGER_KINDS = frozenset({"Ledger", "LedgerLayout"})
+_LEDGER_RANK, _STATE_RANK, _WATCH_RANK = range(3)
 
 
 class PacedStore:
-    """An object store whose calls wait for a permit.
+    """An object store that limits the rate of its calls, ledger calls first.
 
     Parameters
     ----------
     rate
-        Calls a second; a waiting watch is one call.
+        Calls per second; a watch counts as one call, however long it waits.
     burst
-        Most permits that can be saved up.
+        Most calls that can be made at once after an idle period.
     """
 
     def __init__(
@@ -48,20 +48,20 @@
 
     @property
     def waiting(self) -> int:
-        """Return how many calls wait for a permit."""
+        """Return the number of calls that wait for the rate limit."""
         return len(self._queue)
 
-    async def _pace(self, rank: int) -> None:
+    async def _wait_for_permit(self, rank: int) -> None:
         if not self._queue and self._bucket.take(self._clock.now()):
             return
-        turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        heapq.heappush(self._queue, (rank, next(self._counter), turn))
+        permit: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        heapq.heappush(self._queue, (rank, next(self._counter), permit))
         self._set_timer()
-        await turn
+        await permit
 
     def _set_timer(self) -> None:
         if self._timer is None and self._queue:
-            # A hair longer, so that rounding can't wake it just too early.
+            # One millisecond more, so that rounding can't fire the timer too early.
             wait = self._bucket.wait(self._clock.now()) + 1.0
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(wait / SECOND, self._admit)
@@ -69,44 +69,44 @@
     def _admit(self) -> None:
         self._timer = None
         while self._queue:
-            turn = self._queue[0][2]
-            if not turn.done():
+            permit = self._queue[0][2]
+            if not permit.done():
                 if not self._bucket.take(self._clock.now()):
                     break
-                turn.set_result(None)
+                permit.set_result(None)
             heapq.heappop(self._queue)
         self._set_timer()
 
     async def get(self, kind: str, name: str) -> Stored | None:
-        """Return an object, or None."""
-        await self._pace(_rank(kind))
+        """Return an object, or None if it does not exist."""
+        await self._wait_for_permit(_rank(kind))
         return await self._store.get(kind, name)
 
     async def list(self, kinds: Iterable[str]) -> Listing:
-        """Return every object of some kinds at one revision."""
-        await self._pace(_FOLLOWING)
+        """Return every object of the given kinds at one revision."""
+        await self._wait_for_permit(_WATCH_RANK)
         return await self._store.list(kinds)
 
     async def put(self, kind: str, name: str, body: Body, version: int) -> Stored:
-        """Write an object if it still has a version; 0 creates it."""
-        await self._pace(_rank(kind))
+        """Write an object if its version is unchanged; version 0 creates it."""
+        await self._wait_for_permit(_rank(kind))
         return await self._store.put(kind, name, body, version)
 
     async def delete(self, kind: str, name: str, version: int) -> int:
-        """Delete an object if it still has a version; return the revision."""
-        await self._pace(_rank(kind))
+        """Delete an object if its version is unchanged; return the revision."""
+        await self._wait_for_permit(_rank(kind))
         return await self._store.delete(kind, name, version)
 
     async def watch(self, kinds: Iterable[str], after: int, wait: Millis) -> Changes:
-        """Wait for changes after a revision."""
-        await self._pace(_FOLLOWING)
+        """Wait for changes that follow a revision."""
+        await self._wait_for_permit(_WATCH_RANK)
         return await self._store.watch(kinds, after, wait)
 
     async def hosts(self) -> tuple[HostEntry, ...]:
-        """Return the lagging list of hosts."""
-        await self._pace(_FOLLOWING)
+        """Return the platform's list of hosts, which may be out of date."""
+        await self._wait_for_permit(_WATCH_RANK)
         return await self._store.hosts()
 
 
 def _rank(kind: str) -> int:
-    return _MONEY if kind in MONEY_KINDS else _STATE
+    return _LEDGER_RANK if kind in LEDGER_KINDS else _STATE_RANK
--- a/anvilshift/objects/records.py
+++ b/anvilshift/objects/records.py
@@ -1,4 +1,4 @@
-"""Convert core records to and from the bodies of the platform's objects."""
+"""Conversion of core data classes to and from bodies of the platform's objects."""
 
 from typing import Any, TypeVar
 
@@ -20,7 +20,7 @@
 
 
 def encode(record: Any) -> Body:
-    """Return a data class as a JSON object.
+    """Return a data class instance as a JSON object.
 
     Examples
     --------
@@ -33,12 +33,12 @@
 
 
 def decode(kind: type[Record], body: Body) -> Record:
-    """Return the data class that a body holds.
+    """Return the instance of a data class that an object's body holds.
 
     Raises
     ------
     AnvilshiftError
-        Code 5003 when the body is something else.
+        Code 5003 if the body is not valid for the data class.
 
     Examples
     --------
@@ -49,6 +49,6 @@
     try:
         record: Record = _find_adapter(kind).validate_python(body)
     except ValidationError as error:
-        detail = f"an object is no {kind.__name__}"
+        detail = f"an object is not a valid {kind.__name__}"
         raise AnvilshiftError(PLATFORM_GARBAGE, detail) from error
     return record
--- a/anvilshift/objects/store.py
+++ b/anvilshift/objects/store.py
@@ -1,4 +1,4 @@
-"""What the project needs of the platform's object API, and its HTTP adapter."""
+"""Interface to the platform's object API, and its HTTP client."""
 
 import json
 import uuid
@@ -22,17 +22,17 @@
 Body = dict[str, Any]
 WRITE_ID = "write-id"
 _MAX_REVISION = 2**63 - 1
-_RATE_PAUSE: Millis = 1 * SECOND
+_RETRY_AFTER_RATE_LIMIT: Millis = 1 * SECOND
 
 
 @dataclass(frozen=True)
 class Stored:
-    """An object as the platform keeps it.
+    """An object in the platform's store.
 
     Parameters
     ----------
     version
-        The platform's revision at the object's last write; 0 is no object.
+        The platform's revision at the object's last write; 0 if it does not exist.
     """
 
     kind: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Change:
-    """An object that was written, or deleted when its body is None."""
+    """A write of an object, or its deletion if the body is None."""
 
     kind: str
     name: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class Listing:
-    """The objects of some kinds at one revision."""
+    """All objects of the requested kinds at one revision."""
 
     revision: int
     items: tuple[Stored, ...]
@@ -61,7 +61,13 @@
 
 @dataclass(frozen=True)
 class Changes:
-    """What changed up to a revision; too old when the past is forgotten."""
+    """The changes of a watch up to a revision.
+
+    Parameters
+    ----------
+    too_old
+        Whether the platform no longer has the history after the requested revision.
+    """
 
     revision: int
     changes: tuple[Change, ...] = ()
@@ -70,7 +76,7 @@
 
 @dataclass(frozen=True)
 class HostEntry:
-    """A host on the platform's lagging list."""
+    """A host in the platform's list of hosts, which may be out of date."""
 
     name: str
     leaving: bool
@@ -82,7 +88,7 @@
     Parameters
     ----------
     found
-        The object as it is, where the store said so.
+        The current object, if the store returned it with the conflict.
     """
 
     def __init__(self, name: str, found: Stored | None = None) -> None:
@@ -91,60 +97,63 @@
 
 
 class UncertainError(AnvilshiftError):
-    """A write got no answer: it may have taken effect."""
+    """A write without a usable answer: it may or may not have taken effect."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(PLATFORM_DOWN, detail)
 
 
 class RateLimitedError(AnvilshiftError):
-    """The platform is there and turns calls away: another way won't help."""
+    """The platform is reachable but rejects calls that exceed its rate limit.
+
+    Calling it through another router does not help.
+    """
 
     def __init__(self, detail: str) -> None:
-        super().__init__(PLATFORM_DOWN, detail, _RATE_PAUSE)
+        super().__init__(PLATFORM_DOWN, detail, _RETRY_AFTER_RATE_LIMIT)
 
 
 class ObjectStore(Protocol):
-    """The platform's objects: versions, conditional updates and watches."""
+    """Store of versioned objects with conditional writes and watches."""
 
     async def get(self, kind: str, name: str) -> Stored | None:
-        """Return an object, or None."""
+        """Return an object, or None if it does not exist."""
 
     async def list(self, kinds: Iterable[str]) -> Listing:
-        """Return every object of some kinds."""
+        """Return every object of the given kinds."""
 
     async def put(self, kind: str, name: str, body: Body, version: int) -> Stored:
-        """Write an object if it still has a version; 0 creates it.
+        """Write an object if its version is unchanged; version 0 creates it.
 
         Raises
         ------
         ConflictError
-            When the version is another.
+            If the object's version has changed.
         UncertainError
-            When the write may or may not have taken effect.
+            If the write may or may not have taken effect.
         """
 
     async def delete(self, kind: str, name: str, version: int) -> int:
-        """Delete an object if it still has a version; return the revision."""
+        """Delete an object if its version is unchanged; return the revision."""
 
     async def watch(self, kinds: Iterable[str], after: int, wait: Millis) -> Changes:
-        """Wait for changes after a revision."""
+        """Wait for changes that follow a revision."""
 
     async def hosts(self) -> tuple[HostEntry, ...]:
-        """Return the lagging list of hosts."""
+        """Return the platform's list of hosts, which may be out of date."""
 
 
 class HttpObjectStore:
-    """The object API over HTTP and JSON.
+    """Client of the object API over HTTP and JSON.
 
     Parameters
     ----------
     address
-        Where the platform listens.
+        Address of the object API.
     credential
-        Bearer token presented with each call, empty for none.
+        Bearer token sent with each call; empty to send none.
     timeout
-        Milliseconds that a call may take.
+        Timeout of a call in milliseconds; a watch's waiting time is added to it.
     """
 
     def __init__(
@@ -184,114 +193,114 @@
             detail = f"the platform answered {answer.status}"
             raise AnvilshiftError(PLATFORM_DOWN, detail)
         if answer.status == 429:
-            detail = "the platform's rate is used up"
+            detail = "the platform's rate limit is exceeded"
             raise RateLimitedError(detail)
         if answer.status in (401, 403):
             raise AnvilshiftError(FORBIDDEN, "the platform refused the credential")
         return answer
 
     async def get(self, kind: str, name: str) -> Stored | None:
-        """Return an object, or None."""
+        """Return an object, or None if it does not exist."""
         answer = await self._call("GET", _path(kind, name))
         if answer.status == 404:
             return None
-        return _read_stored(_read(answer))
+        return _read_stored(_parse_answer(answer))
 
     async def list(self, kinds: Iterable[str]) -> Listing:
-        """Return every object of some kinds at one revision."""
+        """Return every object of the given kinds at one revision."""
         query = urlencode({"kinds": ",".join(kinds)})
-        value = _read(await self._call("GET", f"/v1/objects?{query}"))
+        value = _parse_answer(await self._call("GET", f"/v1/objects?{query}"))
         try:
             items = tuple(_read_stored(item) for item in value["items"])
             return Listing(_read_revision(value["revision"]), items)
         except (KeyError, TypeError, ValueError) as error:
-            raise _garbage() from error
+            raise _malformed_answer() from error
 
     async def put(self, kind: str, name: str, body: Body, version: int) -> Stored:
-        """Write an object if it still has a version; 0 creates it."""
+        """Write an object if its version is unchanged; version 0 creates it."""
         condition = ("if-match", str(version)) if version else ("if-none-match", "*")
         extra = [condition, (WRITE_ID, uuid.uuid4().hex)]
         answer = await self._call("PUT", _path(kind, name), dump_json(body), extra)
         if answer.status in (409, 412):
             raise ConflictError(f"{kind}/{name}")
         try:
-            return _read_stored(_read(answer))
+            return _read_stored(_parse_answer(answer))
         except AnvilshiftError as error:
             raise UncertainError(error.detail) from error
 
     async def delete(self, kind: str, name: str, version: int) -> int:
-        """Delete an object if it still has a version; return the revision."""
+        """Delete an object if its version is unchanged; return the revision."""
         extra = [("if-match", str(version)), (WRITE_ID, uuid.uuid4().hex)]
         answer = await self._call("DELETE", _path(kind, name), b"", extra)
         if answer.status in (404, 409, 412):
             raise ConflictError(f"{kind}/{name}")
         try:
-            return _read_revision(_read(answer)["version"])
+            return _read_revision(_parse_answer(answer)["version"])
         except (AnvilshiftError, KeyError, TypeError, ValueError) as error:
-            raise UncertainError("the delete's answer can't be read") from error
+            raise UncertainError("the answer to the delete is malformed") from error
 
     async def watch(self, kinds: Iterable[str], after: int, wait: Millis) -> Changes:
-        """Wait for changes after a revision."""
+        """Wait for changes that follow a revision."""
         query = urlencode(
             {"kinds": ",".join(kinds), "after": after, "wait_ms": int(wait)}
         )
         answer = await self._call("GET", f"/v1/watch?{query}", wait=wait)
         if answer.status == 410:
             return Changes(after, too_old=True)
-        value = _read(answer)
+        value = _parse_answer(answer)
         try:
             changes = tuple(_read_change(item) for item in value["changes"])
             return Changes(_read_revision(value["revision"]), changes)
         except (KeyError, TypeError, ValueError) as error:
-            raise _garbage() from error
+            raise _malformed_answer() from error
 
     async def hosts(self) -> tuple[HostEntry, ...]:
-        """Return the lagging list of hosts."""
-        value = _read(await self._call("GET", "/v1/hosts"))
+        """Return the platform's list of hosts, which may be out of date."""
+        value = _parse_answer(await self._call("GET", "/v1/hosts"))
         try:
             return tuple(
                 HostEntry(_read_text(item["name"]), bool(item["leaving"]))
                 for item in value["hosts"]
             )
         except (KeyError, TypeError) as error:
-            raise _garbage() from error
+            raise _malformed_answer() from error
 
 
 def _path(kind: str, name: str) -> str:
     return f"/v1/objects/{quote(kind, safe='')}/{quote(name, safe='')}"
 
 
-def _garbage() -> AnvilshiftError:
+def _malformed_answer() -> AnvilshiftError:
     return AnvilshiftError(PLATFORM_GARBAGE)
 
 
-def _read(answer: HttpAnswer) -> Body:
+def _parse_answer(answer: HttpAnswer) -> Body:
     try:
         value = json.loads(answer.body)
     except (ValueError, RecursionError) as error:
-        raise _garbage() from error
+        raise _malformed_answer() from error
     if answer.status >= 300 or not isinstance(value, dict):
-        raise _garbage()
+        raise _malformed_answer()
     return value
 
 
 def _read_revision(value: Any) -> int:
-    # JSON knows numbers that no revision is: 1e400, NaN, ten thousand digits.
+    # The parser accepts numbers that are not revisions: 1e400, NaN, 10,000 digits.
     if type(value) is not int or not 0 <= value <= _MAX_REVISION:
-        raise _garbage()
+        raise _malformed_answer()
     return value
 
 
 def _read_text(value: Any) -> str:
     if not isinstance(value, str):
-        raise _garbage()
+        raise _malformed_answer()
     return value
 
 
 def _read_stored(value: Any) -> Stored:
     change = _read_change(value)
     if change.body is None:
-        raise _garbage()
+        raise _malformed_answer()
     return Stored(change.kind, change.name, change.version, change.body)
 
 
@@ -299,48 +308,48 @@
     try:
         body = value["body"]
         if body is not None and not isinstance(body, dict):
-            raise _garbage()
+            raise _malformed_answer()
         version = _read_revision(value["version"])
         return Change(
             _read_text(value["kind"]), _read_text(value["name"]), version, body
         )
     except (KeyError, TypeError) as error:
-        raise _garbage() from error
+        raise _malformed_answer() from error
 
 
 Mutation = Callable[[Body | None], Body | None]
-"""Turns an object's body into its next; None leaves the object as it is.
+"""Returns an object's new body; None leaves the object unchanged.
 
-It must be idempotent: it runs again on the result of its own write when the
+A mutation must be idempotent: it runs again on the result of its own write if the
 answer to that write was lost.
 """
-_MAX_TRIES = 12
+_MAX_ATTEMPTS = 12
 
 
 async def update(store: ObjectStore, kind: str, name: str, change: Mutation) -> Stored:
-    """Read, change and write an object until no other writer interfered.
+    """Read, change and write an object, and retry after conflicts.
 
-    A write whose answer was lost is looked up first, because the object is
-    read again and the mutation applied to what is there now.
+    After a write whose answer was lost, the object is read again and the mutation
+    is applied to its current state, so an effective write is not repeated.
 
     Raises
     ------
     AnvilshiftError
-        Code 5001 when the platform doesn't answer, code 5002 when other
-        writers won every race.
+        Code 5001 if the platform doesn't answer, code 5002 if every attempt
+        conflicts with another writer.
     """
-    uncertain = False
-    for _ in range(_MAX_TRIES):
-        found = await store.get(kind, name)
-        body = change(found.body if found else None)
-        if body is None or (found is not None and body == found.body):
-            return found or Stored(kind, name, 0, {})
+    answer_lost = False
+    for _ in range(_MAX_ATTEMPTS):
+        current = await store.get(kind, name)
+        body = change(current.body if current else None)
+        if body is None or (current is not None and body == current.body):
+            return current or Stored(kind, name, 0, {})
         try:
-            return await store.put(kind, name, body, found.version if found else 0)
+            return await store.put(kind, name, body, current.version if current else 0)
         except ConflictError:
             continue
         except UncertainError:
-            if uncertain:
+            if answer_lost:
                 raise
-            uncertain = True
+            answer_lost = True
     raise ConflictError(f"{kind}/{name}")
--- a/anvilshift/platform/__init__.py
+++ b/anvilshift/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translate between the users' platform and the gateway; nothing is decided here."""
+"""Adapter between the deployment platform and the gateway; makes no decisions."""
--- a/anvilshift/platform/dialect.py
+++ b/anvilshift/platform/dialect.py
@@ -1,4 +1,4 @@
-"""The platform's headers and stored objects as the gateway's typed values."""
+"""Conversion between the platform's wire format and the gateway's typed values."""
 
 import math
 
@@ -13,85 +13,97 @@
 from anvilshift.platform.records import ConfigurationRecord, TargetRecord
 from anvilshift.wire.messages import Fields, Headers, HttpRequest, list_hop_headers
 
-_HEX_DIGITS = 64
+_MAX_HASH_DIGITS = 64
 
 
 class PlatformDialect:
-    """Translate the platform's wire format."""
+    """Convert the platform's headers and stored objects to the gateway's types."""
 
     configuration_kind = names.CONFIGURATION_KIND
     configuration_name = names.CONFIGURATION_NAME
     targets_kind = names.TARGETS_KIND
 
     def read_configuration(self, body: Raw) -> Configuration:
-        """Return the configuration that a stored object holds."""
+        """Return the configuration that a stored object holds.
+
+        Raises
+        ------
+        AnvilshiftError
+            Code 5003 with the path of the first invalid field.
+        """
         try:
             return ConfigurationRecord.model_validate(body).convert()
         except ValidationError as error:
-            fault = error.errors()[0]
-            where = ".".join(str(part) for part in fault["loc"])
-            detail = f"{where}: {fault['msg']}"
+            first = error.errors()[0]
+            field = ".".join(str(part) for part in first["loc"])
+            detail = f"{field}: {first['msg']}"
             raise AnvilshiftError(PLATFORM_GARBAGE, detail) from error
 
     def read_target(self, name: str, body: Raw, now: Millis) -> TargetInfo | None:
-        """Return the target that an entry registers; None if it names none."""
+        """Return the target that an entry registers; None if the entry is invalid."""
         try:
             return TargetRecord.model_validate(body).convert(name, now)
         except ValidationError:
             return None
 
     def read_call(self, request: HttpRequest) -> Call:
-        """Return what a caller's headers say."""
+        """Return the attempt, host, credential and prompt from a caller's headers."""
         headers = request.headers
-        identity = headers.get(names.ATTEMPT)
+        identity = headers.get(names.ATTEMPT_ID)
         host = headers.get("host")
         if not identity or host is None:
-            raise AnvilshiftError(BAD_VALUE, "the request has no id or no host")
+            raise AnvilshiftError(
+                BAD_VALUE, "the request has no attempt id or no Host header"
+            )
         return Call(
             identity,
             host,
             _read_credential(headers.get(names.AUTHORIZATION)),
-            _read_number(headers.get(names.DEADLINE)),
+            _read_deadline(headers.get(names.DEADLINE_MS)),
             _read_prompt(headers),
-            headers.get(names.RESUME),
+            headers.get(names.LAST_EVENT_ID),
         )
 
     def write_delivery(self, request: HttpRequest, delivery: Delivery) -> Fields:
-        """Return the headers with which a request goes to a target."""
-        drop = names.ONE_CONNECTION | names.OWN | list_hop_headers(request.headers)
-        drop |= {names.AUTHORIZATION, names.RESUME}
+        """Return the headers of a request that is forwarded to a target."""
+        drop = (
+            names.HOP_HEADERS
+            | names.RESERVED_HEADERS
+            | list_hop_headers(request.headers)
+        )
+        drop |= {names.AUTHORIZATION, names.LAST_EVENT_ID}
         fields = [(n, v) for n, v in request.headers.pairs if n not in drop]
-        fields.append((names.DEADLINE, str(int(delivery.remaining))))
-        fields.append((names.EXPECTED, delivery.expected))
+        fields.append((names.DEADLINE_MS, str(int(delivery.remaining))))
+        fields.append((names.EXPECTED_TARGET, delivery.expected))
         optional = (
             (names.ORGANISATION, delivery.organisation),
             (names.PRIORITY, delivery.priority),
-            (names.FETCH, delivery.fetch_from),
-            (names.RESUME, delivery.resume_after),
+            (names.KV_FETCH, delivery.fetch_from),
+            (names.LAST_EVENT_ID, delivery.resume_after),
         )
         fields += [(name, str(value)) for name, value in optional if value is not None]
         return fields
 
     def read_notes(self, status: int, headers: Headers) -> Notes:
-        """Return what a target's answer says of itself."""
-        found = dict(headers.pairs)
+        """Return the attempt id, signature, refusal and limits in a target's answer."""
+        pairs = dict(headers.pairs)
         return Notes(
-            found.get(names.ATTEMPT),
-            names.SIGNATURE in found,
-            names.NOT_RUN in found,
+            pairs.get(names.ATTEMPT_ID),
+            names.ENGINE_SIGNATURE in pairs,
+            names.NOT_EXECUTED in pairs,
             status == 421,
-            _read_figure(found.get(names.LIMIT)),
-            _read_pause(found.get(names.RETRY_AFTER)),
+            _read_non_negative(pairs.get(names.RATE_LIMIT)),
+            _read_retry_after(pairs.get(names.RETRY_AFTER)),
         )
 
 
 def _read_credential(value: str | None) -> str | None:
-    if value is None or not value.lower().startswith(names.SCHEME):
+    if value is None or not value.lower().startswith(names.BEARER_PREFIX):
         return None
-    return value[len(names.SCHEME) :].strip()
+    return value[len(names.BEARER_PREFIX) :].strip()
 
 
-def _read_number(value: str | None) -> float | None:
+def _read_deadline(value: str | None) -> float | None:
     if value is None:
         return None
     try:
@@ -99,37 +111,43 @@
     except ValueError:
         number = float("nan")
     if not 0 <= number < float("inf"):
-        raise AnvilshiftError(BAD_VALUE, "the deadline is no number of milliseconds")
+        raise AnvilshiftError(BAD_VALUE, "the deadline is not a number of milliseconds")
     return number
 
 
-def _read_figure(value: str | None) -> float | None:
-    """Return a target's figure; None where there is none, NaN for what is none."""
+def _read_non_negative(value: str | None) -> float | None:
+    """Return a non-negative number; None for no header, NaN for an invalid value."""
     if value is None:
         return None
     try:
-        figure = float(value)
+        number = float(value)
     except ValueError:
         return math.nan
-    return figure if 0 <= figure < math.inf else math.nan
+    return number if 0 <= number < math.inf else math.nan
 
 
-def _read_pause(value: str | None) -> Millis | None:
-    """Return the time that a refusal names; None for none, or what is no time."""
-    seconds = _read_figure(value)
+def _read_retry_after(value: str | None) -> Millis | None:
+    """Return the time until a retry; None if it is missing or not in seconds."""
+    seconds = _read_non_negative(value)
     return None if seconds is None or math.isnan(seconds) else seconds * SECOND
 
 
 def _read_prompt(headers: Headers) -> Prompt:
-    """Return the prompt's sizes and parts; an ill-formed list is no prompt."""
-    usage, parts = headers.get(names.TOKENS), headers.get(names.PARTS)
+    """Return the prompt's token counts and parts; empty without token counts.
+
+    Raises
+    ------
+    AnvilshiftError
+        Code 1009 for malformed token counts or parts.
+    """
+    usage, parts = headers.get(names.TOKEN_USAGE), headers.get(names.PREFIX_HASH)
     if usage is None:
         return Prompt()
     try:
         tokens, answer = (int(number) for number in usage.split(","))
         return Prompt(_read_parts(parts or ""), max(0, tokens), max(0, answer))
     except ValueError as error:
-        detail = "the token counts or the prompt's parts can't be read"
+        detail = "the token counts or the prompt's parts are malformed"
         raise AnvilshiftError(BAD_VALUE, detail) from error
 
 
@@ -137,5 +155,5 @@
     parts = []
     for entry in text.split(",") if text else []:
         identity, _, tokens = entry.strip().partition(":")
-        parts.append((identity[:_HEX_DIGITS], int(tokens)))
+        parts.append((identity[:_MAX_HASH_DIGITS], int(tokens)))
     return tuple(parts)
--- a/anvilshift/platform/entrance.py
+++ b/anvilshift/platform/entrance.py
@@ -1,4 +1,4 @@
-"""The calls by which the platform and the callers ask about this process."""
+"""Readiness checks of the platform and address lookups of the callers."""
 
 from collections.abc import Callable
 
@@ -10,12 +10,20 @@
 from anvilshift.wire.messages import JSON_TYPE, HttpRequest, Reply
 from anvilshift.wire.server import Responder
 
-_MOST_ADDRESSES = 64
-"""Addresses that callers read of one answer."""
+_MAX_ADDRESSES = 64
+"""Most addresses that callers read from one answer."""
 
 
-class EntrancePort:
-    """Answer whether this process is ready, and where to connect."""
+class DiscoveryHandler:
+    """Serve readiness checks and address lookups.
+
+    Parameters
+    ----------
+    is_ready
+        Whether this process accepts requests.
+    list_entrances
+        Addresses that serve a failure domain, and how long callers may cache them.
+    """
 
     def __init__(
         self,
@@ -26,21 +34,21 @@
         self._list_entrances = list_entrances
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
-        """Answer a call."""
+        """Answer a readiness check or an address lookup; refuse any other path."""
         if request.path == names.READY_PATH:
             await responder.send(Reply(200 if self._is_ready() else 503))
         elif request.path == names.RESOLVE_PATH:
-            domain = request.query.get(names.ASKED_DOMAIN, "")
+            domain = request.query.get(names.DOMAIN_PARAMETER, "")
             await responder.send(self._resolve(domain))
         else:
             raise AnvilshiftError(UNKNOWN_ROUTE)
 
     def _resolve(self, domain: str) -> Reply:
-        found = self._list_entrances(domain)
-        if not found.addresses:
+        entrances = self._list_entrances(domain)
+        if not entrances.addresses:
             return Reply(503)
         body = {
-            "addresses": list(found.addresses[:_MOST_ADDRESSES]),
-            "ttlS": found.keep / SECOND,
+            "addresses": list(entrances.addresses[:_MAX_ADDRESSES]),
+            "ttlS": entrances.keep / SECOND,
         }
         return Reply(200, [JSON_TYPE], dump_json(body))
--- a/anvilshift/platform/main.py
+++ b/anvilshift/platform/main.py
@@ -1,4 +1,4 @@
-"""The process that the platform starts: ``python3 -m anvilshift.platform.main``."""
+"""Entry point of a gateway process: ``python3 -m anvilshift.platform.main``."""
 
 import asyncio
 import gc
@@ -12,17 +12,17 @@
 from anvilshift.gateway.node import GatewayNode
 from anvilshift.gateway.settings import GatewaySettings
 from anvilshift.platform.dialect import PlatformDialect
-from anvilshift.platform.entrance import EntrancePort
-from anvilshift.platform.settings import find_path, read_settings
+from anvilshift.platform.entrance import DiscoveryHandler
+from anvilshift.platform.settings import find_settings_path, read_settings
 from anvilshift.platform.store import PlatformStore
 from anvilshift.wire.client import HttpClient
 from anvilshift.wire.server import HttpServer
 
-_BAD_SETTINGS_EXIT = 2
+_EXIT_BAD_SETTINGS = 2
 
 
-class Process:
-    """One gateway process: sockets and signals round a node."""
+class GatewayProcess:
+    """One gateway process: a node with its servers and signal handlers."""
 
     def __init__(self, settings: GatewaySettings) -> None:
         self._settings = settings
@@ -34,12 +34,12 @@
         self.node = GatewayNode(
             settings, PlatformDialect(), store, clock, self._journal, rng, STARTED
         )
-        port = EntrancePort(self.node.is_ready, self.node.list_entrances)
-        self._entrance = port
+        handler = DiscoveryHandler(self.node.is_ready, self.node.list_entrances)
+        self._discovery = handler
         self._stopping = asyncio.Event()
 
     async def run(self) -> None:
-        """Serve until the signal to stop."""
+        """Serve until SIGTERM or SIGINT, then stop gracefully."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stopping.set)
         loop.add_signal_handler(signal.SIGINT, self._stopping.set)
@@ -48,7 +48,7 @@
         servers = []
         for address in (settings.ready, settings.directory):
             if address is not None:
-                server = HttpServer(self._entrance.handle)
+                server = HttpServer(self._discovery.handle)
                 await server.start(address)
                 servers.append(server)
         await self.node.start()
@@ -62,9 +62,9 @@
         await self.node.close()
 
     def _reload(self) -> None:
-        """Look at the settings file; its addresses are read at a start only."""
+        """Validate the settings file; new values take effect only at the next start."""
         try:
-            read_settings(find_path())
+            read_settings(find_settings_path())
         except AnvilshiftError as error:
             self._journal.write("settings_unreadable", why=error.detail)
             return
@@ -72,15 +72,15 @@
 
 
 def run() -> int:
-    """Run the process; return its exit code."""
+    """Run the process; return its exit code, 2 for invalid settings."""
     try:
-        settings = read_settings(find_path())
+        settings = read_settings(find_settings_path())
     except AnvilshiftError as error:
         print(error, file=sys.stderr)
-        return _BAD_SETTINGS_EXIT
+        return _EXIT_BAD_SETTINGS
 
     async def serve() -> None:
-        await Process(settings).run()
+        await GatewayProcess(settings).run()
 
     asyncio.run(serve())
     return 0
--- a/anvilshift/platform/names.py
+++ b/anvilshift/platform/names.py
@@ -1,31 +1,31 @@
-"""The platform's names of headers, kinds and paths, in one place."""
+"""Names of the platform's headers, object kinds, paths and variables."""
 
-ATTEMPT = "anvilshift-attempt-id"
-DEADLINE = "anvilshift-deadline-ms"
+ATTEMPT_ID = "anvilshift-attempt-id"
+DEADLINE_MS = "anvilshift-deadline-ms"
 AUTHORIZATION = "authorization"
-SCHEME = "bearer "
+BEARER_PREFIX = "bearer "
 MODEL = "anvilshift-model"
-TOKENS = "anvilshift-token-usage"
-PARTS = "anvilshift-prefix-hash"
-RESUME = "last-event-id"
+TOKEN_USAGE = "anvilshift-token-usage"
+PREFIX_HASH = "anvilshift-prefix-hash"
+LAST_EVENT_ID = "last-event-id"
 
-EXPECTED = "anvilshift-expect-instance"
+EXPECTED_TARGET = "anvilshift-expect-instance"
 ORGANISATION = "anvilshift-tenant"
 PRIORITY = "anvilshift-request-priority"
-FETCH = "kv-fetch"
+KV_FETCH = "kv-fetch"
 
-SIGNATURE = "anvilshift-engine-signature"
-NOT_RUN = "anvilshift-not-executed"
-LIMIT = "server-limit"
+ENGINE_SIGNATURE = "anvilshift-engine-signature"
+NOT_EXECUTED = "anvilshift-not-executed"
+RATE_LIMIT = "server-limit"
 RETRY_AFTER = "retry-after"
 
-OWN = frozenset(
+RESERVED_HEADERS = frozenset(
     {
-        EXPECTED,
+        EXPECTED_TARGET,
         ORGANISATION,
         PRIORITY,
-        DEADLINE,
-        FETCH,
+        DEADLINE_MS,
+        KV_FETCH,
         "kv-from",
         "anvilshift-kv-backup",
         "anvilshift-kv-retention",
@@ -33,9 +33,9 @@
         "anvilshift-expect-version",
     }
 )
-"""Headers that only the system sets: what a caller sent of them is dropped."""
+"""Headers that only the system sets; they are dropped from callers' requests."""
 
-ONE_CONNECTION = frozenset(
+HOP_HEADERS = frozenset(
     {
         "host",
         "connection",
@@ -51,14 +51,14 @@
         "expect",
     }
 )
-"""Headers that concern only one connection; the client writes its own."""
+"""Hop-by-hop headers; the HTTP client writes its own for each connection."""
 
 CONFIGURATION_KIND = "config"
 CONFIGURATION_NAME = "main"
 TARGETS_KIND = "servers"
 READY_PATH = "/v1/readyz"
 RESOLVE_PATH = "/v1/resolve"
-ASKED_DOMAIN = "zone"
-"""Of a call to `RESOLVE_PATH`: the caller's failure domain."""
+DOMAIN_PARAMETER = "zone"
+"""Query parameter of `RESOLVE_PATH` that names the caller's failure domain."""
 OBJECTS_PATH = "/v1/objects"
-BOOT_VARIABLE = "ANVILSHIFT_BOOT"
+SETTINGS_VARIABLE = "ANVILSHIFT_BOOT"
--- a/anvilshift/platform/records.py
+++ b/anvilshift/platform/records.py
@@ -1,4 +1,4 @@
-"""Models of what the operators and the engines write into the platform's store."""
+"""Schemas of the objects that operators and targets write to the platform's store."""
 
 import math
 from collections.abc import Mapping
@@ -18,11 +18,11 @@
     Tenancy,
 )
 
-_BITS = 8
-"""Bits of a byte."""
-_BITS_A_MS_PER_MBPS = 1_000.0
-"""Bits that a rate of one megabit a second carries in a millisecond."""
-_KINDS = {
+_BITS_PER_BYTE = 8
+"""Bits per byte."""
+_BITS_PER_MS_PER_MBPS = 1_000.0
+"""Bits per millisecond at a rate of one megabit per second."""
+_REQUEST_KINDS = {
     "idempotent": RequestKind.IDEMPOTENT,
     "non_idempotent": RequestKind.NON_IDEMPOTENT,
     "streaming": RequestKind.STREAMING,
@@ -30,7 +30,7 @@
 
 
 class _Record(BaseModel):
-    """A record of the platform: camel case, with fields that are not known yet."""
+    """Base of the platform's records: camel-case keys, unknown fields are ignored."""
 
     model_config = ConfigDict(
         alias_generator=to_camel, extra="ignore", populate_by_name=True
@@ -43,7 +43,7 @@
 
 
 class RouteRecord(_Record):
-    """A route of the operators' configuration."""
+    """A route in the operators' configuration."""
 
     name: str = ""
     hostname: str
@@ -52,23 +52,23 @@
     timeout_ms: float
     latency_goal_ms: float = 1_000.0
     itl_target_ms: float | None = None
-    """Longest pause between two events, not between two tokens."""
+    """Target for the longest gap between two events, not between two tokens."""
     priority: int = 0
     service: str | None = None
     split: list[_Split] = Field(default_factory=list)
     max_attempts: int = 1
-    """Targets on which one attempt of a caller may run."""
+    """Most targets on which one attempt of a caller may run."""
     anonymous: bool = False
     resumable: bool = False
 
     def convert(self) -> Rule:
-        """Return the product's rule."""
+        """Return the gateway's routing rule."""
         services = tuple((one.service, one.weight) for one in self.split)
         return Rule(
             name=self.name,
             host=self.hostname,
             prefix=self.path_prefix,
-            kind=_KINDS.get(self.route_kind, RequestKind.NON_IDEMPOTENT),
+            kind=_REQUEST_KINDS.get(self.route_kind, RequestKind.NON_IDEMPOTENT),
             services=services or ((self.service or "", 1.0),),
             timeout=self.timeout_ms,
             objective=self.latency_goal_ms,
@@ -84,29 +84,32 @@
     slots: int = 0
     kv_capacity: int = 0
     stride: int = 1
-    """Most tokens of one event."""
+    """Most tokens in one event."""
     kv_token_bytes: float = 0.0
-    """Size of a token's memory, as it is sent to another engine."""
+    """Bytes of key-value cache per token when it is sent to another engine."""
     link_mbps: float = 0.0
-    """Rate at which engines send memory to one another."""
+    """Megabits per second at which engines send each other key-value cache."""
 
     def convert(self) -> ModelFigures:
-        """Return the product's figures."""
-        bits, rate = self.kv_token_bytes * _BITS, self.link_mbps * _BITS_A_MS_PER_MBPS
+        """Return the model's figures; the fetch time is infinite if one is missing."""
+        bits, rate = (
+            self.kv_token_bytes * _BITS_PER_BYTE,
+            self.link_mbps * _BITS_PER_MS_PER_MBPS,
+        )
         per_token = bits / rate if bits > 0.0 and rate > 0.0 else math.inf
         return ModelFigures(self.slots, self.kv_capacity, self.stride, per_token)
 
 
 class ServiceRecord(_Record):
-    """A service of the operators' configuration."""
+    """A service in the operators' configuration."""
 
     name: str
     max_conns: int = 64
     engine_id: _Engine | None = None
-    """Despite its name the figures of the service's model engines."""
+    """Figures of the service's model engines; despite the name it is not an id."""
 
     def convert(self) -> Service:
-        """Return the product's service."""
+        """Return the gateway's service."""
         engine = self.engine_id
         if engine is None:
             return Service(self.name, self.max_conns)
@@ -118,10 +121,10 @@
     api_keys: list[str] = Field(default_factory=list)
     priority: int | None = None
     reserved: int | None = None
-    """Tokens that may be consumed in all; it grows when more is prepaid."""
+    """Cumulative limit on consumed tokens; each prepayment raises it."""
 
     def convert(self) -> Tenancy:
-        """Return the product's organisation."""
+        """Return the gateway's organisation."""
         return Tenancy(self.name, tuple(self.api_keys), self.priority, self.reserved)
 
 
@@ -132,7 +135,7 @@
     idle_timeout_ms: float = 15_000.0
 
     def convert(self) -> ClientLimits:
-        """Return the product's limits."""
+        """Return the gateway's limits on callers' connections."""
         return ClientLimits(
             self.max_header_bytes,
             self.max_body_bytes,
@@ -142,7 +145,7 @@
 
 
 class ConfigurationRecord(_Record):
-    """The operators' configuration in full."""
+    """The operators' complete configuration."""
 
     version: int
     routes: list[RouteRecord] = Field(default_factory=list)
@@ -151,7 +154,7 @@
     limits: _Limits = Field(default_factory=_Limits)
 
     def convert(self) -> Configuration:
-        """Return the product's configuration."""
+        """Return the gateway's configuration."""
         services: Mapping[str, Service] = {s.name: s.convert() for s in self.services}
         return Configuration(
             version=self.version,
@@ -163,7 +166,7 @@
 
 
 class TargetRecord(_Record):
-    """An engine's own entry."""
+    """The entry with which a target registers itself."""
 
     model_config = ConfigDict(strict=True)
     service: str
@@ -175,7 +178,7 @@
     born: int = 0
 
     def convert(self, name: str, now: Millis) -> TargetInfo:
-        """Return the product's target."""
+        """Return the gateway's target."""
         return TargetInfo(
             name=name,
             service=self.service,
--- a/anvilshift/platform/settings.py
+++ b/anvilshift/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform lays for each process."""
+"""Settings file that the platform writes for each process."""
 
 import os
 import pathlib
@@ -33,7 +33,7 @@
 
 
 class SettingsRecord(BaseModel):
-    """The fields that are read; others are ignored."""
+    """Fields of the settings file that are used; unknown fields are ignored."""
 
     name: str = Field(alias="nodeName")
     ip: str
@@ -45,7 +45,7 @@
     platform: _Store
 
     def convert(self) -> GatewaySettings:
-        """Return the product's settings."""
+        """Return the gateway's settings."""
         listen = self.listen
         return GatewaySettings(
             name=self.name,
@@ -60,26 +60,26 @@
             seeds=tuple(Address.parse(seed).ip for seed in self.seeds),
             grace=self.bounds.grace_s * SECOND,
             retry_allowance=self.bounds.retry_allowance,
-            history=_convert_history(self.platform.history_s),
+            history=_convert_to_ms(self.platform.history_s),
         )
 
 
-def _convert_history(seconds: float | None) -> Millis | None:
+def _convert_to_ms(seconds: float | None) -> Millis | None:
     return None if seconds is None else seconds * SECOND
 
 
-def find_path() -> str:
-    """Return where the platform has laid the settings file."""
-    return os.environ.get(names.BOOT_VARIABLE, _DEFAULT_PATH)
+def find_settings_path() -> str:
+    """Return the path of the settings file; an environment variable overrides it."""
+    return os.environ.get(names.SETTINGS_VARIABLE, _DEFAULT_PATH)
 
 
 def read_settings(path: str) -> GatewaySettings:
-    """Return the settings that a file holds.
+    """Read and validate a settings file.
 
     Raises
     ------
     AnvilshiftError
-        Code 6001 with the file and the field that is missing or ill-typed.
+        Code 6001 with the path, and the field that is missing or invalid.
     """
     try:
         values = tomllib.loads(pathlib.Path(path).read_text())
@@ -87,9 +87,9 @@
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         raise AnvilshiftError(BAD_SETTINGS, f"{path}: {error}") from error
     except ValidationError as error:
-        fault = error.errors()[0]
-        where = ".".join(str(part) for part in fault["loc"])
-        detail = f"{path}: {where}: {fault['msg']}"
+        first = error.errors()[0]
+        field = ".".join(str(part) for part in first["loc"])
+        detail = f"{path}: {field}: {first['msg']}"
         raise AnvilshiftError(BAD_SETTINGS, detail) from error
     except ValueError as error:
         raise AnvilshiftError(BAD_SETTINGS, f"{path}: {error}") from error
--- a/anvilshift/platform/store.py
+++ b/anvilshift/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store as the product's object store."""
+"""Client of the platform's metadata store, as an object store."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -23,30 +23,32 @@
 from anvilshift.wire.messages import JSON_TYPE, Address, HttpAnswer
 
 _TIMEOUT: Millis = 1_000.0
-"""A call takes 4 ms, and 240 ms when the store is sixty times as slow."""
-_WRITES = ("PUT", "POST", "DELETE")
+"""A call normally takes 4 ms, and 240 ms when the store is 60 times slower."""
+_WRITE_METHODS = ("PUT", "POST", "DELETE")
 
 
 class PlatformStore:
-    """Objects by kind and name, with revisions, conditions and watches."""
+    """Object store on the platform's metadata API, one kind per list or watch."""
 
     def __init__(self, client: HttpClient, address: Address) -> None:
         self._client = client
         self._address = address
 
     async def get(self, kind: str, name: str) -> Stored | None:
-        """Return an object, or None."""
+        """Return an object, or None if it does not exist."""
         answer = await self._call("GET", _path(kind, name))
-        return None if answer.status == 404 else _read_object(kind, _read(answer))
+        return (
+            None if answer.status == 404 else _read_object(kind, _parse_answer(answer))
+        )
 
     async def list(self, kinds: Iterable[str]) -> Listing:
-        """Return every object of one kind."""
+        """Return every object of one kind, read page by page."""
         (kind,) = kinds
         items: list[Stored] = []
         revision, query = 0, ""
         while True:
-            page = _read(await self._call("GET", _path(kind) + query))
-            revision = revision or _read_whole(page.get("at"))
+            page = _parse_answer(await self._call("GET", _path(kind) + query))
+            revision = revision or _read_revision(page.get("at"))
             entries = _read_entries(kind, page.get("entries"))
             items += entries
             if not page.get("hasMore") or not entries:
@@ -54,7 +56,7 @@
             query = "?" + urlencode({"sinceRevision": entries[-1].name})
 
     async def put(self, kind: str, name: str, body: Body, version: int) -> Stored:
-        """Write an object if it still has a version; 0 creates it."""
+        """Write an object if its version is unchanged; version 0 creates it."""
         metadata = {"name": name, **({"revision": version} if version else {})}
         data = dump_json({"metadata": metadata, "spec": body})
         method, path = ("PUT", _path(kind, name)) if version else ("POST", _path(kind))
@@ -62,37 +64,37 @@
         if answer.status in (404, 409):
             raise ConflictError(f"{kind}/{name}", _read_conflict(kind, answer))
         try:
-            stored = _read_object(kind, _read(answer))
+            stored = _read_object(kind, _parse_answer(answer))
         except AnvilshiftError as error:
             raise UncertainError(error.detail) from error
         return Stored(kind, name, stored.version, body)
 
     async def delete(self, kind: str, name: str, version: int) -> int:
-        """Delete an object if it still has a version; return the revision."""
+        """Delete an object if its version is unchanged; return that version."""
         query = "?" + urlencode({"revision": version})
         answer = await self._call("DELETE", _path(kind, name) + query)
         if answer.status in (404, 409):
             raise ConflictError(f"{kind}/{name}")
-        _read(answer)
+        _parse_answer(answer)
         return version
 
     async def watch(self, kinds: Iterable[str], after: int, wait: Millis) -> Changes:
-        """Wait for changes of one kind after a revision."""
+        """Wait for changes of one kind that follow a revision."""
         (kind,) = kinds
         query = urlencode({"watch": after, "waitMs": int(wait)})
         answer = await self._call("GET", f"{_path(kind)}?{query}", wait=wait)
         if answer.status == 410:
             return Changes(after, too_old=True)
-        page = _read(answer)
+        page = _parse_answer(answer)
         changes = []
         for event in page.get("events") or []:
             change = _read_event(kind, event)
             if change is not None:
                 changes.append(change)
-        return Changes(_read_whole(page.get("at")), tuple(changes))
+        return Changes(_read_revision(page.get("at")), tuple(changes))
 
     async def hosts(self) -> tuple[HostEntry, ...]:
-        """Return no host: this platform keeps no list of them."""
+        """Return no hosts: this platform has no list of hosts."""
         return ()
 
     async def _call(
@@ -103,16 +105,18 @@
                 self._address, method, path, [JSON_TYPE], body, _TIMEOUT + wait
             )
         except ExchangeError as error:
-            if error.sent and method in _WRITES:
+            if error.sent and method in _WRITE_METHODS:
                 raise UncertainError(str(error)) from error
             raise AnvilshiftError(PLATFORM_DOWN, str(error)) from error
         if answer.status == 429:
-            raise RateLimitedError("the store turns calls away")
+            raise RateLimitedError("the store's rate limit is exceeded")
         if answer.status == 503:
-            raise AnvilshiftError(PLATFORM_DOWN, "the store did nothing")
+            raise AnvilshiftError(
+                PLATFORM_DOWN, "the store refused the call without executing it"
+            )
         if answer.status >= 500:
             detail = f"the store answered {answer.status}"
-            if method in _WRITES:
+            if method in _WRITE_METHODS:
                 raise UncertainError(detail)
             raise AnvilshiftError(PLATFORM_DOWN, detail)
         return answer
@@ -123,7 +127,7 @@
     return "/".join(parts if name is None else [*parts, quote(name, safe="")])
 
 
-def _read(answer: HttpAnswer) -> dict[str, Any]:
+def _parse_answer(answer: HttpAnswer) -> dict[str, Any]:
     if answer.status >= 300:
         raise AnvilshiftError(PLATFORM_GARBAGE, f"status {answer.status}")
     try:
@@ -133,9 +137,9 @@
 
 
 def _read_conflict(kind: str, answer: HttpAnswer) -> Stored | None:
-    """Return the object that a refused write's answer holds, if it can be read.
+    """Return the current object from the answer to a refused write, if it is valid.
 
-    Without it whoever wrote reads the object, and meets what is wrong with it then.
+    If it is invalid, the writer reads the object again, and that read raises the error.
     """
     try:
         return _read_object(kind, parse_object(answer.body))
@@ -143,25 +147,29 @@
         return None
 
 
-def _read_whole(value: Any) -> int:
+def _read_revision(value: Any) -> int:
     if type(value) is not int or value < 0:
-        raise AnvilshiftError(PLATFORM_GARBAGE, "a revision is no whole number")
+        raise AnvilshiftError(
+            PLATFORM_GARBAGE, "a revision is not a non-negative integer"
+        )
     return value
 
 
 def _read_object(kind: str, value: Any) -> Stored:
-    """Return an object; a body that is no mapping is an empty one."""
+    """Return an object; a body that is not a mapping is replaced by an empty one."""
     metadata = value.get("metadata") if isinstance(value, dict) else None
     if not isinstance(metadata, dict) or not isinstance(metadata.get("name"), str):
         raise AnvilshiftError(PLATFORM_GARBAGE, "an object has no name")
     spec = value.get("spec")
     body = spec if isinstance(spec, dict) else {}
-    return Stored(kind, metadata["name"], _read_whole(metadata.get("revision")), body)
+    return Stored(
+        kind, metadata["name"], _read_revision(metadata.get("revision")), body
+    )
 
 
 def _read_entries(kind: str, values: Any) -> list[Stored]:
     if not isinstance(values, list):
-        raise AnvilshiftError(PLATFORM_GARBAGE, "a list has no entries")
+        raise AnvilshiftError(PLATFORM_GARBAGE, "a list answer has no entries")
     return [_read_object(kind, value) for value in values]
 
 
--- a/anvilshift/settings/__init__.py
+++ b/anvilshift/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Convert YAML settings into checked data classes."""
+"""Validation of YAML settings and declarations, and conversion to data classes."""
--- a/anvilshift/settings/declarations.py
+++ b/anvilshift/settings/declarations.py
@@ -1,4 +1,4 @@
-"""Read operators' declarations: YAML and platform objects into data classes."""
+"""Validation of operators' declarations, from YAML files or platform objects."""
 
 import pathlib
 from typing import Annotated, Any, Literal
@@ -34,10 +34,10 @@
 
     @model_validator(mode="after")
     def _check_values(self) -> "_RequirementModel":
-        needs = self.operator in ("In", "NotIn")
-        if needs != bool(self.values):
-            word = "needs" if needs else "takes no"
-            raise ValueError(f"{self.operator} {word} values")
+        requires_values = self.operator in ("In", "NotIn")
+        if requires_values != bool(self.values):
+            verb = "needs" if requires_values else "takes no"
+            raise ValueError(f"{self.operator} {verb} values")
         return self
 
     def convert(self) -> Requirement:
@@ -134,7 +134,7 @@
     @model_validator(mode="after")
     def _check_desired(self) -> "_EngineGroupModel":
         if self.desired and self.target == "service":
-            raise ValueError("desired: plain services take no orders")
+            raise ValueError("desired: only models support a desired state")
         return self
 
     def convert(self) -> EngineGroup:
@@ -171,12 +171,13 @@
 
 
 def parse_declaration(value: Any, where: str) -> Declaration:
-    """Return the declaration that a mapping states.
+    """Return the declaration that a mapping describes.
 
     Raises
     ------
     AnvilshiftError
-        Code 6002 with where it stands, key path and what was expected.
+        Code 6002 with the declaration's location, the key path and what was
+        expected.
     """
     kind = value.get("kind") if isinstance(value, dict) else None
     if not isinstance(kind, str) or kind not in _MODELS:
@@ -189,14 +190,16 @@
 
 
 def read_documents(directory: str) -> dict[tuple[str, str], dict[str, Any]]:
-    """Return every declaration below a directory as it stands, checked.
+    """Return the validated documents of all YAML files below a directory.
+
+    The keys are the declaration's kind and name; the values are as in the file.
 
     Raises
     ------
     AnvilshiftError
-        Code 6002 when a declaration is wrong or stands twice.
+        Code 6002 if a declaration is invalid or declared twice.
     """
-    found: dict[tuple[str, str], dict[str, Any]] = {}
+    documents: dict[tuple[str, str], dict[str, Any]] = {}
     for path in sorted(pathlib.Path(directory).rglob("*.yaml")):
         for index, value in enumerate(read_yaml(str(path), BAD_DECLARATION)):
             if value is None:
@@ -204,8 +207,8 @@
             where = f"{path}[{index}]"
             declaration = parse_declaration(value, where)
             key = (type(declaration).__name__, declaration.name)
-            if key in found:
+            if key in documents:
                 detail = f"{where}: {key[0]} {key[1]} is declared twice"
                 raise AnvilshiftError(BAD_DECLARATION, detail)
-            found[key] = value
-    return found
+            documents[key] = value
+    return documents
--- a/anvilshift/settings/files.py
+++ b/anvilshift/settings/files.py
@@ -1,4 +1,4 @@
-"""Read YAML files into checked models, with errors that name file and key."""
+"""Reading and validation of YAML files, with errors that name file and key."""
 
 import difflib
 import ipaddress
@@ -30,12 +30,12 @@
 
 
 def read_yaml(path: str, code: Code = BAD_SETTINGS) -> list[Any]:
-    """Return every document of a YAML file.
+    """Return the documents in a YAML file.
 
     Raises
     ------
     AnvilshiftError
-        With the file, and the line where the file is no YAML.
+        With the path, and the line of a syntax error.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
@@ -49,45 +49,50 @@
 def check(
     value: Any, model: type[Model], where: str, code: Code = BAD_SETTINGS
 ) -> Model:
-    """Return a value as a checked model.
+    """Validate a value and return it as a model.
+
+    Parameters
+    ----------
+    where
+        Location of the value, which starts each line of the error.
 
     Raises
     ------
     AnvilshiftError
-        One line a fault: where, key path, what was expected.
+        With a line for each error: location, key path and what was expected.
     """
     try:
         return model.model_validate(value)
     except ValidationError as error:
         lines = [
-            f"{where}: {_write_path(fault['loc'])}: {_write_fault(fault, model)}"
-            for fault in error.errors()
+            f"{where}: {_format_path(entry['loc'])}: {_describe_error(entry, model)}"
+            for entry in error.errors()
         ]
         raise AnvilshiftError(code, "\n".join(lines)) from error
 
 
-def _write_path(path: tuple[str | int, ...]) -> str:
+def _format_path(path: tuple[str | int, ...]) -> str:
     return ".".join(str(part) for part in path) or "(top)"
 
 
-def _write_fault(fault: Any, model: type[BaseModel]) -> str:
-    """Return what was found and what was expected; never a credential."""
-    key = str(fault["loc"][-1]) if fault["loc"] else ""
-    if fault["type"] == "extra_forbidden":
-        known = _list_keys(model, fault["loc"][:-1])
-        close = difflib.get_close_matches(key, known, n=1, cutoff=0.4)
-        hint = f"expected {close[0]}" if close else f"expected {', '.join(known)}"
+def _describe_error(entry: Any, model: type[BaseModel]) -> str:
+    """Describe a validation error without revealing the value of a credential."""
+    key = str(entry["loc"][-1]) if entry["loc"] else ""
+    if entry["type"] == "extra_forbidden":
+        known = _list_keys(model, entry["loc"][:-1])
+        similar = difflib.get_close_matches(key, known, n=1, cutoff=0.4)
+        hint = f"expected {similar[0]}" if similar else f"expected {', '.join(known)}"
         return f"unknown key, {hint}"
-    message = str(fault["msg"]).removeprefix("Value error, ")
-    if key.endswith("_ms") and fault["type"].startswith("float"):
+    message = str(entry["msg"]).removeprefix("Value error, ")
+    if key.endswith("_ms") and entry["type"].startswith("float"):
         message = f"expected milliseconds as a number; {message}"
-    if "credential" in key or not isinstance(fault["input"], str | int | float):
+    if "credential" in key or not isinstance(entry["input"], str | int | float):
         return message
-    return f"{message}, found {fault['input']!r}"
+    return f"{message}, found {entry['input']!r}"
 
 
 def _list_keys(model: type[BaseModel], path: tuple[str | int, ...]) -> list[str]:
-    """Return the keys of the model that stands at a path."""
+    """Return the keys of the nested model at a path."""
     for part in path:
         field = model.model_fields.get(str(part))
         if field is None:
@@ -102,12 +107,12 @@
 def _find_model(annotation: Any) -> type[BaseModel] | None:
     if isinstance(annotation, type) and issubclass(annotation, BaseModel):
         return annotation
-    found = (_find_model(item) for item in get_args(annotation))
-    return next((item for item in found if item is not None), None)
+    nested = (_find_model(item) for item in get_args(annotation))
+    return next((item for item in nested if item is not None), None)
 
 
 def load_settings(path: str, model: type[Model]) -> Model:
-    """Read a YAML file of one document into a checked model."""
+    """Read and validate a YAML file that consists of one document."""
     documents = read_yaml(path)
     if len(documents) != 1:
         raise AnvilshiftError(BAD_SETTINGS, f"{path}: expected one YAML document")
--- a/anvilshift/settings/router.py
+++ b/anvilshift/settings/router.py
@@ -1,4 +1,4 @@
-"""Settings of a router process."""
+"""Settings of a router process, read from a YAML file."""
 
 from dataclasses import dataclass
 
@@ -8,41 +8,43 @@
 from anvilshift.settings.files import IpPort, load_settings
 from anvilshift.wire.messages import DEFAULT_LIMITS, Address, Limits
 
-_HEARTBEATS_PER_LEASE = 4
-"""With fewer, one lost heartbeat and a slow one make a router look lost."""
+_MIN_HEARTBEATS_PER_LEASE = 4
+"""With fewer, one lost and one late heartbeat make a router count as lost."""
 
 
 @dataclass(frozen=True)
 class RouterSettings:
-    """What one router process is told at its start.
+    """Settings of one router process, fixed at its start.
 
     Parameters
     ----------
     name
         The router's name, unique in the fleet.
     host
-        The host's name on the platform's list.
+        The host's name in the platform's list of hosts.
     failure_domain
-        Where the host stands.
+        The failure domain of the host.
     listen, peer_listen, operator_listen
         Addresses for callers, other routers and operators.
     platform
         Address of the object API.
     platform_rate, platform_burst
-        Calls of the object API a second, and how many may be saved up.  Five
-        routers at 200 leave half of 2,000 reads a second to others.
+        Calls to the object API per second, and most calls at once after an idle
+        period.  Five routers at 200 leave half of the platform's 2,000 reads per
+        second to other users.
     operator_credential
         SHA-256 of the token that operators present, in hexadecimal.
     commit_spacing
-        Least milliseconds between two group commits to one ledger.
+        Minimum milliseconds between two group commits to one ledger.
     lease
-        Milliseconds without a sign of life after which a router counts as lost.
+        Milliseconds after its last renewal or heartbeat until a router counts as
+        lost.
     heartbeat
         Milliseconds between two heartbeats to the other routers.
     keep_addresses
-        Milliseconds that callers may keep an answer of the address lookup.
+        Milliseconds for which callers may cache an answer of the address lookup.
     grace
-        Most milliseconds that a planned stop may take.
+        Maximum milliseconds that a planned stop may take.
     """
 
     name: str
@@ -67,12 +69,12 @@
 
     @classmethod
     def from_file(cls, path: str) -> "RouterSettings":
-        """Read and check a YAML file.
+        """Read and validate a YAML file.
 
         Raises
         ------
         AnvilshiftError
-            Code 6001 with file, key path and what was expected.
+            Code 6001 with the path, the key path and what was expected.
         """
         return load_settings(path, _RouterModel).convert()
 
@@ -127,23 +129,23 @@
 
     @model_validator(mode="after")
     def _check_addresses(self) -> "_RouterModel":
-        found = {"platform.address": self.platform.address}
+        addresses = {"platform.address": self.platform.address}
         for key in ("listen", "peer_listen", "operator_listen"):
             address = getattr(self, key)
-            for other, taken in found.items():
-                if taken == address:
-                    detail = f"{key}: expected another address than {other}, {taken}"
+            for other, used in addresses.items():
+                if used == address:
+                    detail = f"{key}: expected another address than {other}, {used}"
                     raise ValueError(detail)
-            found[key] = address
+            addresses[key] = address
         return self
 
     @model_validator(mode="after")
-    def _check_spans(self) -> "_RouterModel":
-        least = _HEARTBEATS_PER_LEASE * self.heartbeat_ms
-        if self.lease_ms < least:
+    def _check_durations(self) -> "_RouterModel":
+        minimum = _MIN_HEARTBEATS_PER_LEASE * self.heartbeat_ms
+        if self.lease_ms < minimum:
             raise ValueError(
-                f"lease_ms: expected at least {_HEARTBEATS_PER_LEASE} times "
-                f"heartbeat_ms, {least:g}; found {self.lease_ms:g}"
+                f"lease_ms: expected at least {_MIN_HEARTBEATS_PER_LEASE} times "
+                f"heartbeat_ms, {minimum:g}; found {self.lease_ms:g}"
             )
         if self.grace_ms <= self.keep_addresses_ms:
             raise ValueError(
--- a/tests/objects/test_cached.py
+++ b/tests/objects/test_cached.py
@@ -1,4 +1,4 @@
-"""An object that is written often costs the fewest writes, alone and contended."""
+"""`CachedObject` needs the fewest calls, with and without other writers."""
 
 import unittest
 
@@ -29,18 +29,18 @@
         self.assertEqual(self.store.peek("Note", "a"), {"n": 20})
         self.assertEqual(self.store.calls["put"], 21)
 
-    async def test_contended_it_goes_on_with_what_a_refused_write_tells(self):
+    async def test_contended_it_retries_on_the_object_returned_with_a_conflict(self):
         """Another router writes between any two of this one's writes."""
         self.store.tells_conflicts = True
         for _ in range(10):
             await self.cached.update(count)
             await update(self.store, "Note", "a", count)
         self.assertEqual(self.store.peek("Note", "a"), {"n": 20})
-        # The other writer reads each time, this one only once; nine of its writes
-        # are refused and made again.
+        # The other writer reads each time, this one only once.  Nine of its writes
+        # conflict and are retried.
         self.assertEqual(self.store.calls, {"get": 11, "put": 29})
 
-    async def test_an_object_that_others_always_change_first_is_read_in_the_end(self):
+    async def test_object_is_read_after_the_last_conflicting_write(self):
         self.store.tells_conflicts = True
         cached = CachedObject(self.store.view("r1"), "Note", "a")
         await cached.update(count)
@@ -52,7 +52,7 @@
 
         self.store.faults.before = interfere
         await cached.update(count)
-        # One write before the races, thirteen of the other's, one after them.
+        # One write before the races, thirteen of the other writer, one after them.
         self.assertEqual(self.store.peek("Note", "a"), {"n": 15})
 
     async def test_lost_answer_is_not_taken_for_a_change_of_another(self):
--- a/tests/objects/test_paced.py
+++ b/tests/objects/test_paced.py
@@ -1,4 +1,4 @@
-"""Calls of the platform keep to their rate, and money goes first."""
+"""Calls to the platform keep to the rate limit, and ledger calls go first."""
 
 import asyncio
 
@@ -22,24 +22,24 @@
         await self.store.put(kind, name, {}, 0)
         self.order.append(name)
 
-    async def test_money_overtakes_what_waits(self):
-        """A burst of claims fills the queue; a commit comes last."""
+    async def test_ledger_writes_overtake_waiting_calls(self):
+        """A burst of claims fills the queue before a ledger write arrives."""
         claims = [self.write("Claim", f"c{n}") for n in range(6)]
         lists = self.store.list(["Budget"])
         await asyncio.gather(lists, *claims, self.write("Ledger", "bill"))
         self.assertLessEqual(self.order.index("bill"), 2)
 
-    async def test_rate_holds(self):
+    async def test_rate_limit_is_kept(self):
         await asyncio.gather(*(self.write("Claim", f"c{n}") for n in range(22)))
-        # Two saved permits, then ten a second.
+        # A burst of two, then ten calls per second.
         self.assertAlmostEqual(self.now(), 2.0, delta=0.1)
 
-    async def test_call_that_is_given_up_takes_no_permit(self):
+    async def test_cancelled_call_takes_no_permit(self):
         await asyncio.gather(self.write("Claim", "a"), self.write("Claim", "b"))
-        given_up = asyncio.ensure_future(self.write("Claim", "never"))
+        cancelled = asyncio.ensure_future(self.write("Claim", "never"))
         waiting = asyncio.ensure_future(self.write("Claim", "c"))
         await asyncio.sleep(0)
-        given_up.cancel()
+        cancelled.cancel()
         await waiting
         self.assertAlmostEqual(self.now(), 0.1, delta=0.02)
         self.assertEqual(self.platform.names("Claim"), ["a", "b", "c"])
--- a/tests/platform/gatewaycase.py
+++ b/tests/platform/gatewaycase.py
@@ -1,4 +1,4 @@
-"""The whole gateway on loopback, between stand-ins, for tests to derive from."""
+"""Base class of tests that run whole gateways on loopback, with stubs around them."""
 
 import asyncio
 import random
@@ -13,7 +13,7 @@
 from anvilshift.wire.client import HttpClient
 from anvilshift.wire.messages import Address
 from tests.gateway.silent import SilentJournal
-from tests.platform.stand import StoreStand, TargetStand
+from tests.platform.stubs import StoreStub, TargetStub
 
 ROUTES = {
     "chat": {
@@ -29,8 +29,8 @@
 }
 
 
-_WARM = 20
-"""Requests in a row that a warm router serves."""
+_WARM_UP_SUCCESSES = 20
+"""Consecutive successes after which a router counts as warmed up."""
 
 
 def make_configuration(version: int = 1, reserved: int = 100_000, timeout: int = 2_000):
@@ -61,7 +61,7 @@
 
 
 def find_free_port() -> int:
-    """Return a port for datagrams that nobody has on loopback."""
+    """Return a UDP port that is free on loopback."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
         free.bind(("127.0.0.1", 0))
         return free.getsockname()[1]
@@ -69,9 +69,9 @@
 
 class GatewayCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.stand = StoreStand()
-        self.store_address = await self.stand.start()
-        self.targets: dict[str, TargetStand] = {}
+        self.store_stub = StoreStub()
+        self.store_address = await self.store_stub.start()
+        self.targets: dict[str, TargetStub] = {}
         self.client = HttpClient()
         self.count = 0
         self.starts = 0
@@ -87,10 +87,10 @@
             await node.close()
         for target in self.targets.values():
             await target.server.close()
-        await self.stand.server.close()
+        await self.store_stub.server.close()
 
-    async def add_target(self, name: str, service: str) -> TargetStand:
-        target = TargetStand(name)
+    async def add_target(self, name: str, service: str) -> TargetStub:
+        target = TargetStub(name)
         self.targets[name] = target
         address = await target.start()
         self.register(name, service, address)
@@ -99,14 +99,14 @@
     def register(self, name: str, service: str, address: Address, **rest) -> None:
         entry = {"service": service, "address": str(address), "zone": "north"}
         figures = {"slots": 8, "state": "ready", "sequence": 1, "born": 1}
-        self.stand.put("servers", name, {**entry, **figures, **rest})
+        self.store_stub.put("servers", name, {**entry, **figures, **rest})
 
     async def start_node(
         self, configured: bool = True, history: float | None = None
     ) -> None:
         self.starts += 1
         if configured:
-            self.stand.put("config", "main", make_configuration())
+            self.store_stub.put("config", "main", make_configuration())
         self.node = self.make_node("n1", "127.0.0.1", history=history)
         await self.node.start()
         self.address = Address("127.0.0.1", self.node.server.port)
@@ -147,8 +147,8 @@
         )
 
     async def start_fleet(self, count: int) -> None:
-        """Start routers that find one another, on addresses of their own."""
-        self.stand.put("config", "main", make_configuration())
+        """Start routers that discover one another, each on its own address."""
+        self.store_stub.put("config", "main", make_configuration())
         ips = [f"127.0.0.{n}" for n in range(2, 2 + count)]
         port = find_free_port()
         for ip in ips:
@@ -168,13 +168,13 @@
             await self.warm_up(node)
 
     async def warm_up(self, node: GatewayNode) -> None:
-        """Call a router until it has drawn the tokens that its callers need.
+        """Call a router until it has drawn enough tokens to serve every request.
 
-        Before that it refuses requests, and says when to come back.
+        Until then it refuses requests with a `Retry-After` header.
         """
         served = 0
         async with asyncio.timeout(20):
-            while served < _WARM:
+            while served < _WARM_UP_SUCCESSES:
                 status, _, _ = await self.call_at(node, "/chat/warm")
                 served = served + 1 if status == 200 else 0
                 await asyncio.sleep(0.02)
@@ -201,7 +201,7 @@
                 ("anvilshift-prefix-hash", "a:60,b:40"),
             ]
         headers.append(("anvilshift-deadline-ms", str(rest.pop("deadline", 2_000))))
-        # Longer than any of its answers may take: a test must not hang.
+        # Longer than any answer may take, so that a failing test does not hang.
         async with (
             asyncio.timeout(20),
             self.client.exchange(
--- a/tests/platform/stand.py
+++ b/tests/platform/stubs.py
@@ -1,4 +1,4 @@
-"""Small stand-ins of the platform's store and of its targets, on loopback."""
+"""Stubs of the platform's store and of targets, which listen on loopback."""
 
 import asyncio
 import json
@@ -11,8 +11,18 @@
 LOOPBACK = Address("127.0.0.1", 0)
 
 
-class StoreStand:
-    """Objects with revisions, pages, watches and conditions."""
+class StoreStub:
+    """A store with revisions, paged lists, watches and conditional writes.
+
+    Attributes
+    ----------
+    page
+        Most objects on a page of a list.
+    status
+        Status with which every call is refused, if any.
+    forgotten
+        Watches from an earlier revision are refused, as their history is lost.
+    """
 
     def __init__(self) -> None:
         self.objects: dict[tuple[str, str], dict[str, Any]] = {}
@@ -99,19 +109,29 @@
     )
 
 
-class TargetStand:
-    """A target that signs its answers, with faults to switch on.
+class TargetStub:
+    """A target that signs its answers, with faults that tests inject.
 
     Attributes
     ----------
     runs
-        Ids of the requests that it began, in order.
+        Attempt ids of the requests that it started to run, in order.
     crash_after
-        Events after which it cuts a stream.
+        Number of events after which it aborts a stream.
     limit
-        Requests a second that it names in its answers, if any.
+        Requests per second that its answers allow, if any.
     arrivals
-        When each request reached it, in seconds of the loop.
+        Arrival time of each request, in seconds of the event loop.
+    pace
+        Seconds between two events of a stream.
+    refuses, pause
+        Whether it refuses requests as not run, and the `Retry-After` it sends.
+    echo
+        Attempt id that its answers carry instead of the request's.
+    gone
+        Number of requests whose caller disconnected.
+    poison
+        Body of requests that crash it.
     """
 
     def __init__(self, name: str) -> None:
@@ -176,7 +196,7 @@
             raise
 
     def count_most(self, seconds: float, since: float) -> int:
-        """Return the most requests of any such span that ends after an instant."""
+        """Return the most requests in any such period that ends at `since` or later."""
         ends = [end for end in self.arrivals if end >= since]
         spans = [
             [a for a in self.arrivals if end - seconds <= a <= end] for end in ends
--- a/tests/platform/test_answers.py
+++ b/tests/platform/test_answers.py
@@ -1,4 +1,4 @@
-"""What callers receive of the gateway, between stand-ins on loopback."""
+"""Answers that callers receive from a gateway with stub targets and a stub store."""
 
 import asyncio
 import json
@@ -8,7 +8,7 @@
 
 
 class RouteTest(GatewayCase):
-    async def test_a_router_without_a_configuration_says_so(self):
+    async def test_a_router_without_a_configuration_refuses_as_not_run(self):
         await self.start_node(configured=False)
         status, headers, body = await self.call("/read/1")
         self.assertEqual((status, json.loads(body)["error"]["fate"]), (503, "not run"))
@@ -41,11 +41,11 @@
         await self.start_node()
         changed = make_configuration(version=5)
         changed["routes"] = [r for r in changed["routes"] if r["name"] != "read"]
-        self.stand.put("config", "main", changed)
+        self.store_stub.put("config", "main", changed)
         await self.wait_for(lambda: self.node.shared.table.configuration.version == 5)
         self.assertEqual((await self.call("/read/1"))[0], 404)
-        self.stand.put("config", "main", make_configuration(version=4))
-        self.stand.put("config", "main", {"version": "junk"})
+        self.store_stub.put("config", "main", make_configuration(version=4))
+        self.store_stub.put("config", "main", {"version": "junk"})
         await self.wait_for(
             lambda: "configuration_unreadable" in self.journal.list_events()
         )
@@ -54,10 +54,10 @@
 
 class RepeatTest(GatewayCase):
     async def test_an_order_runs_once_though_its_answer_is_lost(self):
-        """A target runs an order and its connection breaks.
+        """A target runs an order but its answer is lost.
 
-        The caller must not be told "not run", and the order must not be sent
-        to another target: the franchisee would pay twice.
+        The caller must not be told "not run", and the order must not be sent to
+        another target, or the franchisee would pay twice.
         """
         targets = [await self.add_target(name, "desk") for name in ("d1", "d2")]
         for target in targets:
@@ -75,7 +75,7 @@
             self.assertEqual((await self.call("/order/1"))[0], 200)
         self.assertEqual((len(first.runs), len(second.runs)), (0, 4))
 
-    async def test_when_all_refuse_the_caller_hears_not_run_and_when_to_return(self):
+    async def test_caller_gets_not_run_and_retry_after_when_all_targets_refuse(self):
         target = await self.add_target("d1", "desk")
         target.refuses = True
         await self.start_node()
@@ -91,15 +91,15 @@
         self.assertEqual(statuses, [200, 200, 200])
         self.assertGreaterEqual(len(second.runs), 3)
 
-    async def test_another_target_at_the_address_runs_nothing(self):
-        """An engine is gone and its address is another's now."""
+    async def test_a_request_to_a_reassigned_address_is_not_run(self):
+        """Guards against requests to a target whose address was reassigned."""
         target = await self.add_target("d1", "desk")
         target.name = "d9"
         await self.start_node()
         self.assertEqual((await self.call("/order/1"))[0], 503)
         self.assertEqual(target.runs, [])
 
-    async def test_an_unsigned_success_is_no_answer(self):
+    async def test_an_unsigned_success_is_rejected(self):
         target = await self.add_target("d1", "desk")
         target.signs = False
         await self.start_node()
@@ -120,11 +120,11 @@
 
 
 class StreamTest(GatewayCase):
-    async def test_a_stream_goes_on_elsewhere_after_its_last_whole_event(self):
-        """An engine crashes in the midst of an event of a resumable stream.
+    async def test_a_stream_resumes_on_another_target_after_its_last_whole_event(self):
+        """An engine crashes while it sends an event of a resumable stream.
 
-        The caller must get each event once and in order, and no piece of the
-        event that came in part.
+        The caller must get each event once and in order, and nothing of the
+        incomplete event.
         """
         first, second = [await self.add_target(n, "llm") for n in ("e1", "e2")]
         first.crash_after = second.crash_after = 3
@@ -136,7 +136,7 @@
         self.assertEqual((status, body), (200, expected))
         self.assertEqual(len(first.runs) + len(second.runs), 2)
 
-    async def test_a_stream_that_can_not_go_on_looks_cut(self):
+    async def test_a_stream_that_can_not_be_resumed_is_aborted(self):
         target = await self.add_target("e1", "llm")
         await self.add_target("e2", "llm")
         for one in self.targets.values():
@@ -147,7 +147,7 @@
         self.assertEqual(sum(len(t.runs) for t in self.targets.values()), 1)
         self.assertIsNotNone(target)
 
-    async def test_a_caller_that_leaves_ends_the_work_at_once(self):
+    async def test_a_disconnected_caller_cancels_its_request_at_once(self):
         target = await self.add_target("e1", "llm")
         target.pace = 0.2
         await self.start_node()
@@ -157,7 +157,7 @@
         await self.wait_for(lambda: target.gone == 1)
         await self.wait_for(lambda: self.node.in_flight == 0)
 
-    async def test_a_silent_engine_is_left_where_the_stream_may_go_on(self):
+    async def test_a_resumable_stream_moves_away_from_a_silent_engine(self):
         first, second = [await self.add_target(n, "llm") for n in ("e1", "e2")]
         first.hangs = second.hangs = True
         first.on_run = lambda: setattr(second, "hangs", False)
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -108,12 +108,12 @@
         self.assertEqual(found.rules[1].kind, RequestKind.NON_IDEMPOTENT)
         self.assertFalse(found.rules[1].repeatable)
 
-    def test_what_is_no_configuration_is_refused_with_the_field(self):
+    def test_an_invalid_configuration_is_refused_with_the_field(self):
         with self.assertRaises(AnvilshiftError) as caught:
             self.dialect.read_configuration({"version": "x"})
         self.assertIn("version", caught.exception.detail)
 
-    def test_an_entry_names_a_target(self):
+    def test_an_entry_is_decoded(self):
         found = self.dialect.read_target("i-1", ENTRY, 0.0)
         self.assertEqual(
             (found.name, found.service, found.slots), ("i-1", "huvo11a", 64)
@@ -122,7 +122,7 @@
         leaving = self.dialect.read_target("i-1", {**ENTRY, "state": "draining"}, 0.0)
         self.assertTrue(leaving.leaving)
 
-    def test_an_entry_of_another_writer_names_none(self):
+    def test_an_invalid_entry_is_no_target(self):
         for change in (
             {"state": "resting"},
             {"slots": "many"},
@@ -142,7 +142,7 @@
         self.assertEqual((call.prompt.tokens, call.prompt.most_answer), (1460, 80))
         self.assertEqual(call.prompt.parts[1], ("91bd3f06", 410))
 
-    def test_ill_formed_headers_are_refused_with_a_number(self):
+    def test_malformed_headers_are_refused_with_an_error_code(self):
         for name, value in (
             ("Anvilshift-Deadline-Ms", "soon"),
             ("Anvilshift-Deadline-Ms", "-5"),
@@ -156,7 +156,7 @@
                     self.dialect.read_call(make_request(headers))
                 self.assertEqual(caught.exception.code.number, 1009)
 
-    def test_a_target_sees_what_the_caller_sent_but_for_what_is_ours(self):
+    def test_reserved_and_hop_headers_are_replaced_when_forwarding(self):
         delivery = Delivery("i-1", "hule930", 1234.9, 3, "10.0.0.2:80", "17")
         fields = self.dialect.write_delivery(make_request(), delivery)
         found = dict(fields)
@@ -175,7 +175,7 @@
         fields = self.dialect.write_delivery(make_request(), Delivery("i-1", None, 5.0))
         self.assertNotIn("anvilshift-tenant", dict(fields))
 
-    def test_the_notes_of_an_answer(self):
+    def test_an_answer_is_decoded(self):
         signed = Headers(
             [("Anvilshift-Attempt-Id", "9c41"), ("Anvilshift-Engine-Signature", "s")]
         )
@@ -198,7 +198,7 @@
         for value in ("", "soon", "-1", "inf", "nan", "1,2"):
             self.assertTrue(math.isnan(read(value)), value)
 
-    def test_a_refusal_may_name_how_long_the_target_takes_nothing(self):
+    def test_retry_after_is_read_in_seconds(self):
         def read(value: str) -> float | None:
             return self.dialect.read_notes(503, Headers([("Retry-After", value)])).pause
 
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -1,13 +1,13 @@
-"""Budgets, targets and planned stops of the gateway, between stand-ins."""
+"""Budgets, targets and planned stops of a gateway with stub targets and store."""
 
 import asyncio
 import json
 
-from anvilshift.platform.entrance import EntrancePort
+from anvilshift.platform.entrance import DiscoveryHandler
 from anvilshift.wire.messages import Address
 from anvilshift.wire.server import HttpServer
 from tests.platform.gatewaycase import GatewayCase, make_configuration
-from tests.platform.stand import LOOPBACK, TargetStand
+from tests.platform.stubs import LOOPBACK, TargetStub
 
 
 class BudgetTest(GatewayCase):
@@ -15,24 +15,24 @@
         await self.add_target("e1", "llm")
         await self.start_node()
         changed = make_configuration(version=2, reserved=300)
-        self.stand.put("config", "main", changed)
+        self.store_stub.put("config", "main", changed)
         await self.wait_for(lambda: self.node.shared.table.configuration.version == 2)
         statuses = [(await self.call(f"/chat/{n}"))[0] for n in range(4)]
-        # 100 prompt tokens and 6 events of 5 are 130; 135 are set aside.
+        # 100 prompt tokens and 6 events of 5 are 130; 135 are reserved.
         self.assertEqual(statuses, [200, 200, 402, 402])
         purse = self.node.allotter.wallet.purses["pounds"]
         self.assertEqual(purse.settled, 260)
 
-    async def test_a_killed_router_is_counted_by_its_record_of_use(self):
+    async def test_share_of_a_killed_router_is_counted_by_its_usage_record(self):
         """A router's process is killed and started again on the same host.
 
-        Its cushion lies unspent; counted as spent whole, what is left of the total
-        shrinks with every such kill.
+        Its cushion was not spent.  If it counted as spent in full, each kill would
+        reduce the tokens that are left of the total.
         """
         await self.add_target("e1", "llm")
         await self.start_node(history=20_000.0)
         self.assertEqual((await self.call("/chat/1"))[0], 200)
-        # The second draw knows what is left; the record of it comes after.
+        # The second draw knows the remaining total; its usage record is written later.
         await self.wait_for(lambda: self.read_ceiling() > 10_000)
         held = self.read_ceiling()
         await self.wait_for(lambda: self.read_use().get("cushion", 0) >= 6_000)
@@ -45,7 +45,7 @@
         self.assertLess(ended["most"], held)
 
     def read_spec(self, kind: str, name: str) -> dict:
-        return self.stand.objects.get((kind, name), {}).get("spec", {})
+        return self.store_stub.objects.get((kind, name), {}).get("spec", {})
 
     def read_ceiling(self) -> int:
         spec = self.read_spec("anvilshift-allotments", "main")
@@ -74,17 +74,17 @@
             await self.call(f"/read/{n}")
         self.assertEqual((len(first.runs), len(second.runs)), (0, 5))
 
-    async def test_junk_among_the_entries_hides_no_target(self):
+    async def test_malformed_entries_hide_no_valid_target(self):
         await self.add_target("d1", "desk")
-        self.stand.put("servers", "junk", "no object")
-        self.stand.put("servers", "half", {"service": "desk"})
+        self.store_stub.put("servers", "junk", "no object")
+        self.store_stub.put("servers", "half", {"service": "desk"})
         await self.start_node()
         self.assertEqual((await self.call("/read/1"))[0], 200)
         self.assertEqual(set(self.node.loads.targets), {"d1"})
 
 
 class StopTest(GatewayCase):
-    async def test_a_planned_stop_serves_on_and_hands_its_share_back(self):
+    async def test_a_planned_stop_keeps_serving_and_returns_its_share(self):
         target = await self.add_target("e1", "llm")
         target.pace = 0.1
         await self.start_node()
@@ -97,15 +97,15 @@
         self.assertEqual((await self.call("/review/2"))[0], 200)
         self.assertEqual((await calling)[0], 200)
         await stopping
-        spec = self.stand.objects["anvilshift-allotments", "main"]["spec"]
+        spec = self.store_stub.objects["anvilshift-allotments", "main"]["spec"]
         self.assertEqual(spec["organisations"]["pounds"]["shares"], {})
         self.assertEqual(spec["organisations"]["pounds"]["closed"], 260)
 
-    async def test_a_stream_that_a_stop_would_cut_off_is_sent_elsewhere_at_once(self):
-        """A caller with an old address answer connects 3.2 s after the signal to stop.
+    async def test_a_stream_that_a_stop_would_cut_off_is_refused_at_once(self):
+        """A caller with a cached address connects 3.2 s after the signal to stop.
 
-        Its stream takes four seconds, and would break off when the grace ends; told
-        at once that nothing ran, the caller has its answer from another router.
+        Its stream takes four seconds and would be cut off when the grace period
+        ends.  If it is refused at once as not run, another router can serve it.
         """
         target = await self.add_target("e1", "llm")
         await self.add_target("d1", "desk")
@@ -126,8 +126,8 @@
 class EntranceTest(GatewayCase):
     async def test_callers_are_told_where_to_connect(self):
         await self.start_node()
-        port = EntrancePort(self.node.is_ready, self.node.list_entrances)
-        server = HttpServer(port.handle)
+        handler = DiscoveryHandler(self.node.is_ready, self.node.list_entrances)
+        server = HttpServer(handler.handle)
         address = await server.start(LOOPBACK)
         self.addAsyncCleanup(server.close)
         ready = await self.client.call(address, "GET", "/v1/readyz")
@@ -142,10 +142,10 @@
 
 class PoisonTest(GatewayCase):
     async def test_a_request_that_crashes_its_targets_costs_three_at_the_most(self):
-        """A read crashes each target that runs it, and its caller sends it again.
+        """A read crashes each target that runs it, and its caller retries it.
 
-        Without a limit every target would be lost in turn, with all that runs
-        there.
+        Without a limit every target would crash in turn, with all the requests that
+        run there.
         """
         for name in ("d1", "d2", "d3", "d4", "d5"):
             target = await self.add_target(name, "desk")
@@ -158,7 +158,7 @@
         self.assertEqual((await self.call("/read/1", b"fine"))[0], 200)
 
     async def test_the_first_target_that_a_request_crashes_counts(self):
-        """Guards against a fourth target, lost since the first was not looked at."""
+        """Guards against a fourth crash because the first one did not count."""
         for name in ("d1", "d2", "d3", "d4", "d5"):
             target = await self.add_target(name, "desk")
             target.poison = b"poison"
@@ -170,12 +170,12 @@
 
 
 class ReplacedTest(GatewayCase):
-    async def test_a_replaced_target_is_asked_once_and_not_by_every_request(self):
-        """An engine crashes and its address is another's a moment later.
+    async def test_a_replaced_target_is_called_once_and_not_by_every_request(self):
+        """An engine crashes and its address is reassigned a moment later.
 
-        Its entry stays in the store for seconds.  Each request that still went
-        there would be refused, sent again elsewhere and use up a retry; when
-        these are used up, proper requests are refused.
+        Its entry stays in the store for seconds.  Each request that is still sent
+        there is refused, retried elsewhere and uses up retry allowance; once that is
+        used up, valid requests are refused.
         """
         target = await self.add_target("d1", "desk")
         await self.add_target("d2", "desk")
@@ -192,7 +192,7 @@
         await self.start_node()
         for n in range(4):
             await self.call(f"/order/{n}")
-        moved = TargetStand("d1")
+        moved = TargetStub("d1")
         self.targets["moved"] = moved
         self.register("d1", "desk", await moved.start())
         address = f"127.0.0.1:{moved.server.port}"
--- a/tests/platform/test_limits.py
+++ b/tests/platform/test_limits.py
@@ -1,4 +1,4 @@
-"""What an engine in need gets from all routers together."""
+"""Limits and pauses of a target hold for all routers together."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 STABLE_S = 3.0
 SPAN_S = 4.0
-"""The rule counts the requests of any such span, from `STABLE_S` after the naming."""
+"""The limit holds for any such period that ends `STABLE_S` or more after it is set."""
 
 
 def find_allowed(rate: float) -> float:
@@ -27,22 +27,22 @@
 
 class LimitTest(LoadedCase):
     async def test_all_routers_together_keep_to_a_limit_that_an_engine_names(self):
-        """Each router went on as before: an engine in need got five times its limit."""
+        """Guards against routers that ignore the limit and send five times as much."""
         limited = await self.add_target("e1", "llm")
         await self.add_target("e2", "llm")
         await self.start_fleet(3)
         limited.limit = "1"
-        named = asyncio.get_running_loop().time()
+        limited_at = asyncio.get_running_loop().time()
         statuses = await self.keep_calling(6.0, gap=0.05)
         self.assertEqual(set(statuses), {200})
-        most = limited.count_most(SPAN_S, since=named + STABLE_S)
+        most = limited.count_most(SPAN_S, since=limited_at + STABLE_S)
         self.assertLessEqual(most, find_allowed(1.0))
         self.assertGreater(most, 0)
 
 
 class PauseTest(LoadedCase):
-    async def test_a_target_that_refuses_for_a_while_is_left_alone_by_all_routers(self):
-        """Each request found out anew: its router and the others sent there on."""
+    async def test_no_router_calls_a_target_again_before_its_retry_after(self):
+        """Guards against routers that keep sending requests to a refusing target."""
         refusing = await self.add_target("e1", "llm")
         await self.add_target("e2", "llm")
         await self.start_fleet(3)
@@ -50,7 +50,7 @@
         before = len(refusing.arrivals)
         statuses = await self.keep_calling(2.0, gap=0.05)
         self.assertEqual(set(statuses), {200})
-        # One request for each router may be on its way when the first is refused.
+        # Each router may have a request in flight when the first one is refused.
         self.assertLessEqual(len(refusing.arrivals) - before, 3)
 
     async def test_a_target_is_used_again_once_its_pause_is_over(self):
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,4 +1,4 @@
-"""No name of the platform's wire format stands outside its adapter."""
+"""Names of the platform's wire format are used only in its adapter."""
 
 import pathlib
 import re
@@ -8,9 +8,9 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent / "anvilshift"
 GENERAL = {"authorization", "bearer ", "last-event-id", "config", "main", "servers"}
-"""Names that HTTP, server-sent events or plain English have as well."""
+"""Names that are also common in HTTP, server-sent events or plain English."""
 OWN_INTERFACE = {"anvilshift-deadline-ms"}
-"""Headers of the product's own interface, which the platform took over."""
+"""Headers of the gateway's own interface, which the platform adopted."""
 FIELDS = (
     "pathPrefix",
     "maxAttempts",
@@ -32,7 +32,7 @@
 class NamesTest(unittest.TestCase):
     def setUp(self):
         values = [v for v in vars(names).values() if isinstance(v, str)]
-        values += [v for group in (names.OWN,) for v in group]
+        values += [v for group in (names.RESERVED_HEADERS,) for v in group]
         headers = {
             v
             for v in values
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -39,11 +39,11 @@
         pathlib.Path(self.path).write_text(text)
         return self.path
 
-    def test_a_history_that_is_not_stated_proves_nothing(self):
-        """The settings don't say how long the store keeps its history.
+    def test_history_is_none_unless_the_settings_state_it(self):
+        """Guards against a guessed duration of the store's history.
 
-        With a guess that is too short, a router would take an old record of use for
-        a new one, and tokens that are spent would be handed out again.
+        With a guess that is too short, a router would take an old usage record for
+        a new one, and spent tokens would be granted again.
         """
         self.assertIsNone(read_settings(self.write(TEXT)).history)
         stated = read_settings(self.write(TEXT + "historyS = 20\n"))
@@ -86,7 +86,7 @@
         self.assertEqual(len(errors.getvalue().splitlines()), 1)
         self.assertIn(path, errors.getvalue())
 
-    def test_a_file_that_is_missing_is_said_to_be(self):
+    def test_a_missing_file_is_named_in_the_error(self):
         with self.assertRaises(AnvilshiftError) as caught:
             read_settings(self.path)
         self.assertIn(self.path, caught.exception.detail)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -5,18 +5,18 @@
 from anvilshift.objects.store import ConflictError, RateLimitedError
 from anvilshift.platform.store import PlatformStore
 from anvilshift.wire.client import HttpClient
-from tests.platform.stand import StoreStand
+from tests.platform.stubs import StoreStub
 
 
 class PlatformStoreTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.stand = StoreStand()
+        self.stub = StoreStub()
         self.client = HttpClient()
-        self.store = PlatformStore(self.client, await self.stand.start())
+        self.store = PlatformStore(self.client, await self.stub.start())
 
     async def asyncTearDown(self):
         self.client.close()
-        await self.stand.server.close()
+        await self.stub.server.close()
 
     async def test_objects_are_created_read_and_replaced_on_their_revision(self):
         made = await self.store.put("notes", "a", {"n": 1}, 0)
@@ -33,37 +33,37 @@
         self.assertIsNone(await self.store.get("notes", "b"))
 
     async def test_a_list_is_read_page_by_page(self):
-        self.stand.page = 2
+        self.stub.page = 2
         for name in "abcde":
-            self.stand.put("notes", name, {})
+            self.stub.put("notes", name, {})
         listing = await self.store.list(["notes"])
         self.assertEqual([item.name for item in listing.items], list("abcde"))
-        self.assertEqual(listing.revision, self.stand.revision)
+        self.assertEqual(listing.revision, self.stub.revision)
 
-    async def test_a_watch_tells_what_was_written_and_removed(self):
-        self.stand.put("notes", "a", {"n": 1})
-        start = self.stand.revision
+    async def test_a_watch_reports_writes_and_deletions(self):
+        self.stub.put("notes", "a", {"n": 1})
+        start = self.stub.revision
         watching = asyncio.create_task(self.store.watch(["notes"], start, 1_000.0))
         await asyncio.sleep(0.02)
-        self.stand.remove("notes", "a")
+        self.stub.remove("notes", "a")
         found = await watching
         self.assertEqual([(c.name, c.body) for c in found.changes], [("a", None)])
-        self.assertEqual(found.revision, self.stand.revision)
+        self.assertEqual(found.revision, self.stub.revision)
 
-    async def test_lost_history_is_told(self):
-        self.stand.forgotten = 50
+    async def test_a_watch_reports_lost_history(self):
+        self.stub.forgotten = 50
         self.assertTrue((await self.store.watch(["notes"], 3, 10.0)).too_old)
 
-    async def test_an_object_with_another_spec_is_an_empty_one(self):
-        self.stand.put("notes", "a", "bytes")
+    async def test_a_spec_that_is_not_a_mapping_is_read_as_empty(self):
+        self.stub.put("notes", "a", "bytes")
         listing = await self.store.list(["notes"])
         self.assertEqual(listing.items[0].body, {})
 
-    async def test_a_store_that_did_nothing_is_told_from_one_over_its_rate(self):
-        self.stand.status = 429
+    async def test_unavailability_is_distinguished_from_rate_limiting(self):
+        self.stub.status = 429
         with self.assertRaises(RateLimitedError):
             await self.store.get("notes", "a")
-        self.stand.status = 503
+        self.stub.status = 503
         with self.assertRaises(AnvilshiftError) as caught:
             await self.store.put("notes", "a", {}, 0)
         self.assertEqual(caught.exception.code.number, 5001)
--- a/tests/settings/test_declarations.py
+++ b/tests/settings/test_declarations.py
@@ -1,4 +1,4 @@
-"""Declarations come from people and from stores: any value is read or named."""
+"""Any value is either a valid declaration or raises an error with its location."""
 
 import unittest
 
@@ -46,7 +46,7 @@
         st.sampled_from(KINDS) | VALUES,
         st.dictionaries(KEYS, VALUES, max_size=6) | VALUES,
     )
-    def test_any_value_is_read_or_is_a_numbered_error(self, kind, rest):
+    def test_any_value_is_read_or_raises_an_error_with_its_code(self, kind, rest):
         value = {**rest, "kind": kind} if isinstance(rest, dict) else rest
         try:
             parse_declaration(value, "here")
--- a/tests/settings/test_router.py
+++ b/tests/settings/test_router.py
@@ -1,4 +1,4 @@
-"""Wrong settings: file, key path, what was expected; nothing is started."""
+"""Invalid settings are refused with file and key path, and no router starts."""
 
 import pathlib
 import subprocess
@@ -46,7 +46,7 @@
         self.write()
         self.assertEqual(RouterSettings.from_file(self.path).lease, 5_000.0)
 
-    def test_faults_name_key_path_and_what_was_expected(self):
+    def test_errors_name_key_path_and_what_was_expected(self):
         for changes, expected in (
             ({"lease": "5s"}, "lease: unknown key, expected lease_ms"),
             ({"lease_ms": "5s"}, "lease_ms: expected milliseconds as a number"),
