--- a/anvilshift/__init__.py
+++ b/anvilshift/__init__.py
@@ -1,1 +1,1 @@
-"""Route requests of organisations that spend from prepaid token budgets."""
+"""Route requests to model engines and services within prepaid token budgets."""
--- a/anvilshift/operator/__init__.py
+++ b/anvilshift/operator/__init__.py
@@ -1,1 +1,1 @@
-"""Provide the operator's command line."""
+"""Implement the `anvilshift` command line for operators."""
--- a/anvilshift/operator/calling.py
+++ b/anvilshift/operator/calling.py
@@ -1,4 +1,4 @@
-"""Call the fleet from the command line, as a caller's program would."""
+"""Send a request to the fleet from the command line, as a client program does."""
 
 import asyncio
 import sys
@@ -10,40 +10,55 @@
 EXIT_NOT_RUN = 5
 EXIT_RAN = 6
 EXIT_UNKNOWN = 7
-_EXITS = {"not run": EXIT_NOT_RUN, "ran": EXIT_RAN}
+_EXIT_CODES = {"not run": EXIT_NOT_RUN, "ran": EXIT_RAN}
 
 
 def make_conversation(
-    model: str, prompt: str, tokens: int, deadline: Millis, key: str, once: bool
+    model: str,
+    prompt: str,
+    tokens: int,
+    deadline: Millis,
+    key: str,
+    non_idempotent: bool,
 ) -> Conversation:
-    """Return what a command line asks for; without a key it gets a fresh one."""
-    question = {"role": "user", "content": prompt}
+    """Build the request of a command line, with a random key if none is given.
+
+    Parameters
+    ----------
+    tokens
+        Upper limit on the tokens of the answer.
+    key
+        Idempotency key; a random one is generated if it is empty.
+    non_idempotent
+        Whether the request is not idempotent and so must run at most once.
+    """
+    message = {"role": "user", "content": prompt}
     key = key or uuid.uuid4().hex
-    return Conversation(model, [question], tokens, deadline, key, once)
+    return Conversation(model, [message], tokens, deadline, key, non_idempotent)
 
 
-async def print_answer(client: Client, asked: Conversation) -> int:
-    """Print a model's answer as it comes; return the exit code.
+async def print_answer(client: Client, conversation: Conversation) -> int:
+    """Print a model's answer as it is streamed and return the exit code.
 
-    The exit code tells *not run*, *ran* and *unknown* apart, so that a script
-    knows whether it may send an order again.
+    The exit code distinguishes *not run*, *ran* and *unknown*, so that a script
+    can decide whether it may resend a non-idempotent request.
     """
     try:
-        async for text in client.stream(asked):
+        async for text in client.stream(conversation):
             print(text, end="", flush=True)
         print()
         return 0
     except CallError as error:
         print(error, file=sys.stderr)
         if error.retry_after is not None:
-            print(f"come back in {error.retry_after:.0f} ms", file=sys.stderr)
-        return _EXITS.get(error.fate, EXIT_UNKNOWN)
+            print(f"retry after {error.retry_after:.0f} ms", file=sys.stderr)
+        return _EXIT_CODES.get(error.fate, EXIT_UNKNOWN)
     finally:
         client.close()
 
 
-class Calls:
-    """The verb that calls the fleet."""
+class CallCommand:
+    """The command that sends a request to the fleet."""
 
     def call(
         self,
@@ -56,19 +71,20 @@
         key: str = "",
         non_idempotent: bool = False,
     ) -> None:
-        """Ask a model through the fleet and print its answer as it comes.
+        """Send a prompt to a model through the fleet and stream its answer.
 
-        Exit code 5 says that the work was not run, 6 that it ran, 7 that it
-        isn't known; 5 may be sent again, an order with 6 or 7 only under its
-        own `--key`.
+        On failure, exit code 5 means that the request did not run, 6 that it
+        ran, and 7 that its outcome is unknown. After 5 it is safe to send the
+        request again; after 6 or 7 resend a non-idempotent request only with
+        the same `--key`.
 
         Example: anvilshift call advice "How warm must the tank be?" \
 --seeds 127.0.0.1:8011,127.0.0.1:8021 --token "$TOKEN"
         """
-        # Fire reads a list of addresses as a tuple.
-        found = seeds.split(",") if isinstance(seeds, str) else list(seeds)
-        client = Client.from_config({"seeds": found, "token": str(token)})
-        asked = make_conversation(
+        # Fire parses a comma-separated list of addresses into a tuple.
+        addresses = seeds.split(",") if isinstance(seeds, str) else list(seeds)
+        client = Client.from_config({"seeds": addresses, "token": str(token)})
+        conversation = make_conversation(
             str(model), str(prompt), tokens, deadline, str(key), non_idempotent
         )
-        sys.exit(asyncio.run(print_answer(client, asked)))
+        sys.exit(asyncio.run(print_answer(client, conversation)))
--- a/anvilshift/operator/checking.py
+++ b/anvilshift/operator/checking.py
@@ -1,4 +1,4 @@
-"""Check declarations against each other, without the platform."""
+"""Validate the references between declarations, without the platform."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -12,12 +12,17 @@
 
 @dataclass(frozen=True)
 class Finding:
-    """Something wrong with a declaration.
+    """A problem found in a declaration.
 
     Parameters
     ----------
     severity
-        ``error`` for what can't work, ``warning`` for what is likely a slip.
+        ``error`` if the declaration can't work, ``warning`` if it is probably a
+        mistake.
+    kind, name
+        The declaration that has the problem.
+    message
+        The field concerned, a colon, and a description of the problem.
     """
 
     severity: str
@@ -27,7 +32,7 @@
 
 
 def cross_check(declarations: list[Declaration]) -> list[Finding]:
-    """Return what is wrong between declarations that are each well formed."""
+    """Return the inconsistencies between individually valid declarations."""
     catalogue = Catalogue.from_declarations(declarations)
     return [
         *_check_organisations(catalogue),
@@ -39,24 +44,24 @@
 def _check_organisations(catalogue: Catalogue) -> Iterator[Finding]:
     owners: dict[str, str] = {}
     for item in catalogue.organisations.values():
-        where = ("Organisation", item.name)
+        subject = ("Organisation", item.name)
         if item.budget not in catalogue.budgets:
             message = f"budget: no Budget {item.budget} is declared"
-            yield Finding(ERROR, *where, message)
+            yield Finding(ERROR, *subject, message)
         if not any(catalogue.decide(item, g) for g in catalogue.groups.values()):
-            message = "labels: no policy lets it use any engine group"
-            yield Finding(WARNING, *where, message)
+            message = "labels: no policy allows it to use any engine group"
+            yield Finding(WARNING, *subject, message)
         for credential in item.credentials:
             if credential in owners:
-                message = f"credentials: one is {owners[credential]}'s too"
-                yield Finding(ERROR, *where, message)
+                message = f"credentials: one belongs to {owners[credential]} too"
+                yield Finding(ERROR, *subject, message)
             owners[credential] = item.name
 
 
 def _check_routes(catalogue: Catalogue) -> Iterator[Finding]:
     for route in catalogue.routes.values():
         if not any(group.serves(route) for group in catalogue.groups.values()):
-            message = f"engines: no EngineGroup serves it: {route.engines}"
+            message = f"engines: no EngineGroup serves this route: {route.engines}"
             yield Finding(ERROR, "Route", route.name, message)
 
 
@@ -65,10 +70,10 @@
     names = Counter(engine.name for engine, _ in engines)
     addresses = Counter(engine.address for engine, _ in engines)
     for engine, group in engines:
-        where = ("EngineGroup", group.name)
+        subject = ("EngineGroup", group.name)
         if names[engine.name] > 1:
             message = f"engines: the name {engine.name} is declared more than once"
-            yield Finding(ERROR, *where, message)
+            yield Finding(ERROR, *subject, message)
         if addresses[engine.address] > 1:
-            message = f"engines: {engine.address} is another engine's address too"
-            yield Finding(WARNING, *where, message)
+            message = f"engines: {engine.address} is the address of several engines"
+            yield Finding(WARNING, *subject, message)
--- a/anvilshift/operator/codes.py
+++ b/anvilshift/operator/codes.py
@@ -1,4 +1,4 @@
-"""Write the table of result codes; `make pages` puts it into docs/ERRORS.md."""
+"""Generate the table of result codes, which `make pages` writes to docs/ERRORS.md."""
 
 from anvilshift.core.errors import CODES, Code
 
@@ -33,7 +33,7 @@
 
 
 def render_table() -> str:
-    """Return docs/ERRORS.md.
+    """Return the text of docs/ERRORS.md.
 
     Examples
     --------
--- a/anvilshift/operator/explaining.py
+++ b/anvilshift/operator/explaining.py
@@ -1,4 +1,4 @@
-"""Explain which policy lets an organisation use which engines."""
+"""Explain which policy allows an organisation to use which engines."""
 
 from dataclasses import dataclass
 
@@ -13,8 +13,15 @@
 
 
 @dataclass(frozen=True)
-class Consideration:
-    """What became of one policy for one organisation and engine group."""
+class PolicyOutcome:
+    """Result of evaluating one policy for one organisation and engine group.
+
+    Parameters
+    ----------
+    outcome
+        ``decides``, or why the policy doesn't: which label requirement isn't met,
+        or to which policy it lost by priority or by name.
+    """
 
     policy: str
     priority: int
@@ -27,8 +34,13 @@
 
     Parameters
     ----------
+    priority, policy
+        Priority and name of the deciding policy; None if no policy matches.
+    why
+        Selectors of the deciding policy, or that no policy matches.
     policies
-        Every policy, the deciding one first, then those that match and lost.
+        Outcome of every policy: first the deciding one, then those that match
+        but lost to it, then those that don't match.
     """
 
     engine: str
@@ -37,26 +49,31 @@
     priority: int | None
     policy: str | None
     why: str
-    policies: tuple[Consideration, ...]
+    policies: tuple[PolicyOutcome, ...]
 
 
 def explain(
     declarations: list[Declaration], organisation: str, engine: str = ""
 ) -> list[Explanation]:
-    """Return why an organisation may, or may not, use each engine.
+    """Explain for each engine why an organisation may or may not use it.
+
+    Parameters
+    ----------
+    engine
+        Name of the only engine to explain; all engines if empty.
 
     Raises
     ------
     AnvilshiftError
-        Code 6002 when no such organisation or engine is declared.
+        Code 6002 if the organisation or the engine is not declared.
     """
     catalogue = Catalogue.from_declarations(declarations)
-    found = catalogue.organisations.get(organisation)
-    if found is None:
+    declared = catalogue.organisations.get(organisation)
+    if declared is None:
         detail = f"no organisation {organisation} is declared"
         raise AnvilshiftError(BAD_DECLARATION, detail)
     rows = [
-        _explain_engine(catalogue, found, group, item.name)
+        _explain_engine(catalogue, declared, group, item.name)
         for group in catalogue.groups.values()
         for item in group.engines
         if engine in ("", item.name)
@@ -73,8 +90,8 @@
     ranked = sorted(
         catalogue.policies.values(), key=lambda p: (p.priority, p.name), reverse=True
     )
-    considered = [_consider(p, organisation, group, chosen) for p in ranked]
-    considered.sort(key=lambda item: not item.outcome.startswith(("decides", "lost")))
+    outcomes = [_evaluate_policy(p, organisation, group, chosen) for p in ranked]
+    outcomes.sort(key=lambda item: not item.outcome.startswith(("decides", "lost")))
     why = "no policy selects this organisation and this group"
     if chosen is not None:
         why = f"organisations [{chosen.organisations}], engines [{chosen.engines}]"
@@ -85,16 +102,16 @@
         chosen.priority if chosen else None,
         chosen.name if chosen else None,
         why,
-        tuple(considered),
+        tuple(outcomes),
     )
 
 
-def _consider(
+def _evaluate_policy(
     policy: Policy,
     organisation: Organisation,
     group: EngineGroup,
     chosen: Policy | None,
-) -> Consideration:
+) -> PolicyOutcome:
     unmet_by_organisation = policy.organisations.find_unmet(organisation.labels)
     unmet_by_group = policy.engines.find_unmet(group.labels)
     if unmet_by_organisation is not None:
@@ -107,4 +124,4 @@
         assert chosen is not None
         reason = "priority" if chosen.priority > policy.priority else "name"
         outcome = f"lost to {chosen.name} by {reason}"
-    return Consideration(policy.name, policy.priority, outcome)
+    return PolicyOutcome(policy.name, policy.priority, outcome)
--- a/anvilshift/operator/main.py
+++ b/anvilshift/operator/main.py
@@ -1,4 +1,4 @@
-"""The `anvilshift` command."""
+"""Define the `anvilshift` command, its subcommands and its exit codes."""
 
 import asyncio
 import json
@@ -15,12 +15,12 @@
 from anvilshift.core.clock import SECOND, MonotonicClock
 from anvilshift.core.errors import BAD_DECLARATION, BAD_SETTINGS, AnvilshiftError
 from anvilshift.objects.store import ConflictError, HttpObjectStore
-from anvilshift.operator.calling import Calls
+from anvilshift.operator.calling import CallCommand
 from anvilshift.operator.checking import ERROR, cross_check
 from anvilshift.operator.explaining import explain
 from anvilshift.operator.platformside import (
     compare,
-    forget_router,
+    delete_router_record,
     read_fleet,
     read_stored,
     read_usage,
@@ -28,7 +28,7 @@
     wait_accepted,
     write_differences,
 )
-from anvilshift.operator.standins import Standins
+from anvilshift.operator.standins import StandinCommands
 from anvilshift.router.daemon import Router
 from anvilshift.settings.declarations import parse_declaration, read_documents
 from anvilshift.settings.router import RouterSettings
@@ -55,9 +55,10 @@
 
 
 def _read_secret(given: str) -> str:
-    """Return a credential given as it is, or as ``@file``.
+    """Return a credential given literally, or read from a file as ``@file``.
 
-    A command line can be read by every user of the machine; a file need not.
+    Every user of the machine can read the command line of a process, whereas a file
+    can be protected by its permissions.
     """
     text = str(given)
     if not text.startswith("@"):
@@ -68,43 +69,43 @@
         raise AnvilshiftError(BAD_SETTINGS, f"{text[1:]}: {error}") from error
 
 
-def _open(platform: str, credential: str = "") -> HttpObjectStore:
+def _open_store(platform: str, credential: str = "") -> HttpObjectStore:
     secret = _read_secret(credential)
     return HttpObjectStore(HttpClient(), Address.parse(platform), secret)
 
 
-def _run(work: Coroutine[Any, Any, Any]) -> Any:
-    return asyncio.run(work)
+def _run_coroutine(coroutine: Coroutine[Any, Any, Any]) -> Any:
+    return asyncio.run(coroutine)
 
 
-class Commands(Calls):
+class Commands(CallCommand):
     """Operate a fleet of anvilshift routers.
 
     Example: anvilshift apply declarations --platform 127.0.0.1:7000
     """
 
     def __init__(self) -> None:
-        self.standin = Standins()
+        self.standin = StandinCommands()
 
     def router(self, settings: str, check: bool = False) -> None:
-        """Run a router, or only check its settings.
+        """Run a router, or with --check only validate its settings.
 
         Example: anvilshift router --settings router.yaml
         """
-        read = RouterSettings.from_file(settings)
+        router_settings = RouterSettings.from_file(settings)
         if check:
             print(f"{settings}: well formed")
             return
 
         async def serve() -> int:
-            return await Router(read).run()
+            return await Router(router_settings).run()
 
-        sys.exit(_run(serve()))
+        sys.exit(_run_coroutine(serve()))
 
     def check(self, directory: str, output: str = "text") -> None:
-        """Check declarations, each and against each other, without the platform.
+        """Validate declarations and their references, without the platform.
 
-        Exit code 2 says that one is wrong; warnings leave it at 0.
+        The exit code is 2 if there is any error; warnings alone leave it at 0.
 
         Example: anvilshift check declarations
         """
@@ -132,12 +133,12 @@
         prune: bool = False,
         output: str = "text",
     ) -> None:
-        """Show what `apply` would change.
+        """Show the changes that `apply` would make.
 
         Example: anvilshift diff declarations --platform 127.0.0.1:7000
         """
         documents = read_documents(directory)
-        stored = _run(read_stored(_open(platform, credential)))
+        stored = _run_coroutine(read_stored(_open_store(platform, credential)))
         _print([vars(d) for d in compare(documents, stored, prune)], output)
 
     def apply(
@@ -149,37 +150,40 @@
         timeout: float = _ACCEPT_TIMEOUT_S,
         output: str = "text",
     ) -> None:
-        """Store declarations and wait until every router has them in force.
+        """Store declarations and wait until they are in force on every router.
 
-        Exit code 3 says that another operator won a race, 4 that the change is
-        stored and waits for a router.
+        Exit code 3 means that another operator changed a declaration
+        concurrently, 4 that the changes are stored but a router has not put
+        them in force before the timeout.
 
         Example: anvilshift apply declarations --platform 127.0.0.1:7000
         """
         documents = read_documents(directory)
 
-        async def work() -> int:
-            store = _open(platform, credential)
+        async def apply_documents() -> int:
+            store = _open_store(platform, credential)
             stored = await read_stored(store)
             differences = compare(documents, stored, prune)
-            newest, lost = await write_differences(store, documents, differences)
+            revision, conflicting = await write_differences(
+                store, documents, differences
+            )
             rows = [vars(d) for d in differences]
             acceptance = await wait_accepted(
-                store, MonotonicClock(), newest, timeout * SECOND
+                store, MonotonicClock(), revision, timeout * SECOND
             )
             summary: dict[str, Any] = {
                 "changes": rows,
-                "lost_races": [vars(d) for d in lost],
-                "revision": newest,
-                "accepted": acceptance.accepted and not lost,
+                "lost_races": [vars(d) for d in conflicting],
+                "revision": revision,
+                "accepted": acceptance.accepted and not conflicting,
                 "waiting_for": list(acceptance.waiting),
             }
             _print(summary, output)
-            if lost:
+            if conflicting:
                 return EXIT_CONFLICT
             return 0 if acceptance.accepted else EXIT_WAITING
 
-        sys.exit(_run(work()))
+        sys.exit(_run_coroutine(apply_documents()))
 
     def get(
         self,
@@ -193,7 +197,7 @@
 
         Example: anvilshift get --kind Budget --platform 127.0.0.1:7000
         """
-        stored = _run(read_stored(_open(platform, credential)))
+        stored = _run_coroutine(read_stored(_open_store(platform, credential)))
         rows = [
             item.body
             for key, item in sorted(stored.items())
@@ -209,11 +213,11 @@
         credential: str = "",
         output: str = "text",
     ) -> None:
-        """Show which engines an organisation may use, and which policy says so.
+        """Show which engines an organisation may use and which policy decides it.
 
         Example: anvilshift explain kosice --platform 127.0.0.1:7000
         """
-        stored = _run(read_stored(_open(platform, credential)))
+        stored = _run_coroutine(read_stored(_open_store(platform, credential)))
         declarations = [
             parse_declaration(item.body, f"{item.kind}/{item.name}")
             for item in stored.values()
@@ -237,24 +241,28 @@
         credential: str = "",
         output: str = "text",
     ) -> None:
-        """Add prepaid tokens to a budget; the same id adds them once.
+        """Add prepaid tokens to a budget; repeating it with the same id adds none.
 
         Example: anvilshift topup pounds 500000 --id invoice-17 \
 --platform 127.0.0.1:7000
         """
         if not isinstance(tokens, int) or tokens <= 0:
-            raise AnvilshiftError(BAD_DECLARATION, "tokens must be a number above 0")
-        identity = str(id) or uuid.uuid4().hex
-        total = _run(top_up(_open(platform, credential), budget, tokens, identity))
-        _print({"budget": budget, "id": identity, "total": total}, output)
+            raise AnvilshiftError(
+                BAD_DECLARATION, "tokens must be an integer greater than 0"
+            )
+        top_up_id = str(id) or uuid.uuid4().hex
+        total = _run_coroutine(
+            top_up(_open_store(platform, credential), budget, tokens, top_up_id)
+        )
+        _print({"budget": budget, "id": top_up_id, "total": total}, output)
 
     def usage(self, platform: str, credential: str = "", output: str = "text") -> None:
-        """Show what each budget has and has spent.
+        """Show the total, spent, held and free tokens of each budget.
 
         Example: anvilshift usage --platform 127.0.0.1:7000
         """
-        found = _run(read_usage(_open(platform, credential)))
-        rows = [{"budget": name, **row} for name, row in found.items()]
+        usage_by_budget = _run_coroutine(read_usage(_open_store(platform, credential)))
+        rows = [{"budget": name, **row} for name, row in usage_by_budget.items()]
         _print(rows, output)
 
     def status(
@@ -265,42 +273,47 @@
         credential: str = "",
         output: str = "text",
     ) -> None:
-        """Show one router's state, or with --platform that of the whole fleet.
+        """Show the state of one router, or with --platform of the whole fleet.
 
         Example: anvilshift status 127.0.0.1:8091 --token @operator.token
         """
         if platform:
-            _print(_run(read_fleet(_open(platform, credential))), output)
+            _print(
+                _run_coroutine(read_fleet(_open_store(platform, credential))), output
+            )
             return
         if not address:
             detail = "expected a router's operator address, or --platform"
             raise AnvilshiftError(BAD_SETTINGS, detail)
-        _print(_run(_ask_router("GET", address, "/status", token)), output)
+        _print(_run_coroutine(_call_router("GET", address, "/status", token)), output)
 
     def drain(self, address: str, token: str, output: str = "text") -> None:
-        """Begin a router's planned stop, asked at its operator address.
+        """Ask a router at its operator address to begin a planned stop.
 
         Example: anvilshift drain 127.0.0.1:8091 --token @operator.token
         """
-        _print(_run(_ask_router("POST", address, "/drain", token)), output)
+        _print(_run_coroutine(_call_router("POST", address, "/drain", token)), output)
 
     def forget(
         self, router: str, platform: str, credential: str = "", output: str = "text"
     ) -> None:
-        """Remove the record of a router that is known to have ended.
+        """Remove the record of a router that is known to have terminated.
 
-        Only for one that the others can't remove, because most of them were
-        lost with it; if it still runs, it may serve under old declarations.
+        Use it only if the other routers can't remove the record because most
+        of them were lost at the same time. If the router is still running, it
+        may go on serving with outdated declarations.
 
         Example: anvilshift forget r3 --platform 127.0.0.1:7000
         """
-        found = _run(forget_router(_open(platform, credential), str(router)))
-        _print({"router": str(router), "forgotten": found}, output)
-        if not found:
+        removed = _run_coroutine(
+            delete_router_record(_open_store(platform, credential), str(router))
+        )
+        _print({"router": str(router), "forgotten": removed}, output)
+        if not removed:
             sys.exit(EXIT_FAILED)
 
 
-async def _ask_router(method: str, address: str, path: str, token: str) -> Any:
+async def _call_router(method: str, address: str, path: str, token: str) -> Any:
     headers = [("authorization", f"Bearer {_read_secret(token)}")]
     answer = await HttpClient().call(
         Address.parse(address), method, path, headers, timeout=5 * SECOND
@@ -312,13 +325,13 @@
         error = value["error"]
         detail = f"{error['code']} {error['name']}: {error['message']}"
     except (ValueError, KeyError, TypeError):
-        detail = f"{address} answered {answer.status} and nothing that can be read"
+        detail = f"{address} answered {answer.status} with a body that can't be parsed"
     print(detail, file=sys.stderr)
     sys.exit(EXIT_FAILED)
 
 
 def run() -> None:
-    """Run the command line."""
+    """Run the command line and exit with its exit code."""
     logging.set_verbosity(logging.INFO)
     logging.use_absl_handler()
     try:
--- a/anvilshift/operator/platformside.py
+++ b/anvilshift/operator/platformside.py
@@ -1,4 +1,4 @@
-"""What operators do against the platform: declarations, top-ups, spend."""
+"""Operator actions on the platform: declarations, router records, budgets."""
 
 import asyncio
 from collections.abc import Mapping
@@ -20,12 +20,20 @@
 from anvilshift.router.following import ROUTER_KIND
 
 Documents = Mapping[tuple[str, str], Body]
-_POLL: Millis = 100.0
+_POLL_INTERVAL: Millis = 100.0
 
 
 @dataclass(frozen=True)
 class Difference:
-    """How one declaration differs from what is stored."""
+    """A change that makes the stored declaration equal to the given one.
+
+    Parameters
+    ----------
+    change
+        ``create``, ``change`` or ``delete``.
+    version
+        Version of the stored declaration; 0 if there is none.
+    """
 
     kind: str
     name: str
@@ -35,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Acceptance:
-    """How far a change has come into force.
+    """Whether a revision is in force on every router.
 
     Parameters
     ----------
@@ -48,12 +56,12 @@
 
     @property
     def accepted(self) -> bool:
-        """Tell whether every live router has the revision in force."""
+        """Whether the revision is in force on every router that has a record."""
         return not self.waiting
 
 
 async def read_stored(store: ObjectStore) -> dict[tuple[str, str], Stored]:
-    """Return every stored declaration."""
+    """Return every stored declaration by kind and name."""
     listing = await store.list(KINDS)
     return {(item.kind, item.name): item for item in listing.items}
 
@@ -61,68 +69,76 @@
 def compare(
     documents: Documents, stored: Mapping[tuple[str, str], Stored], prune: bool
 ) -> list[Difference]:
-    """Return what applying the documents would change."""
-    found = []
+    """Return the changes that applying the documents would make.
+
+    Parameters
+    ----------
+    prune
+        Whether stored declarations that are not among the documents are deleted.
+    """
+    differences = []
     for key, body in documents.items():
-        old = stored.get(key)
-        if old is None:
-            found.append(Difference(*key, "create"))
-        elif old.body != body:
-            found.append(Difference(*key, "change", old.version))
+        current = stored.get(key)
+        if current is None:
+            differences.append(Difference(*key, "create"))
+        elif current.body != body:
+            differences.append(Difference(*key, "change", current.version))
     if prune:
-        gone = [item for key, item in stored.items() if key not in documents]
-        found += [Difference(i.kind, i.name, "delete", i.version) for i in gone]
-    return found
+        absent = [item for key, item in stored.items() if key not in documents]
+        differences += [Difference(i.kind, i.name, "delete", i.version) for i in absent]
+    return differences
 
 
 async def write_differences(
     store: ObjectStore, documents: Documents, differences: list[Difference]
 ) -> tuple[int, list[Difference]]:
-    """Write what differs, each on the version that was compared.
+    """Write each difference, on condition that the compared version is still stored.
 
     Returns
     -------
     tuple
-        The newest revision written, or the platform's where nothing was, so
-        that applying again still waits for what an earlier run has stored; and
-        the differences that lost a race with another operator, which are left
-        as the other wrote them.
+        The newest revision written; if nothing was written, the platform's
+        current revision, so that applying again still waits for changes stored
+        by an earlier run; and the differences that conflicted with a concurrent
+        write by another operator, which is not overwritten.
     """
     newest = 0
-    lost = []
+    conflicting = []
     for item in differences:
         try:
             if item.change == "delete":
-                deleted = await store.delete(item.kind, item.name, item.version)
-                newest = max(newest, deleted)
+                deletion_revision = await store.delete(
+                    item.kind, item.name, item.version
+                )
+                newest = max(newest, deletion_revision)
                 continue
             body = documents[item.kind, item.name]
             written = await store.put(item.kind, item.name, body, item.version)
             newest = max(newest, written.version)
         except ConflictError:
-            lost.append(item)
+            conflicting.append(item)
     if not newest:
         newest = (await store.list([])).revision
-    return newest, lost
+    return newest, conflicting
 
 
 async def wait_accepted(
     store: ObjectStore, clock: Clock, revision: int, timeout: Millis
 ) -> Acceptance:
-    """Wait until every router has acknowledged a revision."""
-    until = clock.now() + timeout
+    """Poll until every router has acknowledged a revision or the timeout expires."""
+    deadline = clock.now() + timeout
     while True:
         listing = await store.list([ROUTER_KIND])
         waiting = tuple(
             item.name for item in listing.items if _read_revision(item) < revision
         )
-        if not waiting or clock.now() >= until:
+        if not waiting or clock.now() >= deadline:
             return Acceptance(revision, waiting)
-        await asyncio.sleep(_POLL / SECOND)
+        await asyncio.sleep(_POLL_INTERVAL / SECOND)
 
 
 def _read_revision(item: Stored) -> int:
-    """Return what a router has in force; none for a record that can't be read."""
+    """Return the revision in force on a router, or -1 if its record is unreadable."""
     try:
         return decode(Member, item.body).revision
     except AnvilshiftError:
@@ -130,7 +146,7 @@
 
 
 async def read_fleet(store: ObjectStore) -> list[dict[str, Any]]:
-    """Return what each router's record says, and how far it is behind."""
+    """Return each router's record and whether the newest declarations are in force."""
     listing = await store.list([ROUTER_KIND, *KINDS])
     declared = [i.version for i in listing.items if i.kind != ROUTER_KIND]
     newest = max(declared, default=0)
@@ -142,8 +158,8 @@
     return rows
 
 
-async def forget_router(store: ObjectStore, name: str) -> bool:
-    """Remove a router's record; False when there is none."""
+async def delete_router_record(store: ObjectStore, name: str) -> bool:
+    """Delete a router's record; return False if it has none."""
     found = await store.get(ROUTER_KIND, name)
     if found is None:
         return False
@@ -152,12 +168,12 @@
 
 
 async def top_up(store: ObjectStore, budget: str, tokens: int, identity: str) -> int:
-    """Add prepaid tokens to a budget once; return its total."""
+    """Add prepaid tokens to a budget once per identity; return its total."""
     return await ledgers.top_up(store, budget, identity, tokens)
 
 
 async def read_usage(store: ObjectStore) -> dict[str, dict[str, Any]]:
-    """Return what each budget has, has spent and has handed out."""
+    """Return the total, spent, held, in-doubt and free tokens of each budget."""
     return {
         name: {
             "total": account.total,
--- a/anvilshift/operator/standins.py
+++ b/anvilshift/operator/standins.py
@@ -1,11 +1,11 @@
-"""Run stand-ins of the outside systems as processes."""
+"""Run stand-ins for the external systems as processes."""
 
 import asyncio
 import signal
 from collections.abc import Callable
 from typing import Protocol
 
-from anvilshift.standins.engine import EngineFigures, EngineStandin
+from anvilshift.standins.engine import EngineParameters, EngineStandin
 from anvilshift.standins.platform import PlatformStandin
 from anvilshift.standins.relay import Relay
 from anvilshift.standins.service import ServiceStandin
@@ -14,55 +14,59 @@
 
 class _Standin(Protocol):
     async def start(self, address: Address) -> Address:
-        """Listen, and return the address."""
+        """Start listening and return the bound address."""
 
     async def close(self) -> None:
-        """Cut every connection."""
+        """Stop listening and close every connection."""
 
 
-class Standins:
-    """Stand-ins for tests and the demo; none is for production.
+class StandinCommands:
+    """Run stand-ins for external systems in tests and the demo, not in production.
 
     Example: anvilshift standin platform --listen 127.0.0.1:7000
     """
 
     def platform(self, listen: str, seed: int = 0) -> None:
-        """Run a stand-in of the platform's object API."""
+        """Run a stand-in for the platform's object API."""
         asyncio.run(_serve(lambda: PlatformStandin(seed), listen))
 
     def engine(
         self,
         listen: str,
-        slots: int = EngineFigures.slots,
-        prefill_ms: float = EngineFigures.prefill_ms,
-        decode_ms: float = EngineFigures.decode_ms,
-        report_ms: float = EngineFigures.report_ms,
+        slots: int = EngineParameters.slots,
+        prefill_ms: float = EngineParameters.prefill_ms,
+        decode_ms: float = EngineParameters.decode_ms,
+        report_ms: float = EngineParameters.report_ms,
         checks_fencing: bool = False,
     ) -> None:
-        """Run a stand-in of a model engine."""
-        figures = EngineFigures(slots, prefill_ms, decode_ms, report_ms, checks_fencing)
-        asyncio.run(_serve(lambda: EngineStandin(figures, True), listen))
+        """Run a stand-in for a model engine."""
+        parameters = EngineParameters(
+            slots, prefill_ms, decode_ms, report_ms, checks_fencing
+        )
+        asyncio.run(_serve(lambda: EngineStandin(parameters, True), listen))
 
     def service(self, listen: str) -> None:
-        """Run a stand-in of a plain service."""
+        """Run a stand-in for a plain service."""
         asyncio.run(_serve(ServiceStandin, listen))
 
     def relay(self, listen: str, target: str, control: str = "") -> None:
-        """Run a TCP relay with faults, set by POST /control/faults at `control`.
+        """Run a TCP relay with faults that POST /control/faults at `control` sets.
 
         Example: anvilshift standin relay --listen 127.0.0.1:7001 \
 --target 127.0.0.1:7000 --control 127.0.0.1:7002
         """
-        port = Address.parse(control) if control else None
-        asyncio.run(_serve(lambda: Relay(Address.parse(target), port), listen))
+        control_address = Address.parse(control) if control else None
+        asyncio.run(
+            _serve(lambda: Relay(Address.parse(target), control_address), listen)
+        )
 
 
-async def _serve(make: Callable[[], _Standin], listen: str) -> None:
-    standin = make()
+async def _serve(factory: Callable[[], _Standin], listen: str) -> None:
+    standin = factory()
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     address = await standin.start(Address.parse(listen))
     print(f"listening on {address}", flush=True)
     await stop.wait()
--- a/anvilshift/standins/__init__.py
+++ b/anvilshift/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the outside systems in tests and the demo."""
+"""Stand-ins for the external systems, used by tests and the demo."""
--- a/anvilshift/standins/engine.py
+++ b/anvilshift/standins/engine.py
@@ -1,7 +1,7 @@
-"""Stand in for a model engine: slots, priorities, streams, reports, orders, faults.
+"""Stand-in for a model engine: slots, priorities, streams, reports, orders, faults.
 
-Text is a function of the prompt and the position alone, so that a test can
-tell a whole answer from one with a lost or doubled token.
+Each token of an answer depends only on the prompt and its position, so that a
+test can distinguish a complete answer from one with a lost or repeated token.
 """
 
 import asyncio
@@ -27,45 +27,45 @@
 from anvilshift.wire.server import HttpServer, Responder
 
 POISON = "POISON"
-"""A prompt that holds this word crashes the engine that runs it."""
+"""A prompt that contains this word crashes the engine that runs it."""
 _BYTES_PER_TOKEN = 4
-_DEFAULT_ANSWER = 16
+_DEFAULT_MAX_TOKENS = 16
 
 
 def make_token(prompt: str, position: int) -> str:
-    """Return the token at a position of the answer to a prompt."""
+    """Return the token at one position of the answer to a prompt."""
     digest = hashlib.sha256(f"{prompt}|{position}".encode()).hexdigest()
     return f"{digest[:5]} "
 
 
 def make_answer(prompt: str, tokens: int) -> str:
-    """Return the whole answer to a prompt."""
+    """Return the complete answer to a prompt, of the given number of tokens."""
     return "".join(make_token(prompt, position) for position in range(tokens))
 
 
 def read_prompt(body: dict[str, Any]) -> str:
-    """Return the text of a chat request's messages."""
+    """Return the contents of a chat request's messages, one per line."""
     return "\n".join(str(m.get("content", "")) for m in body.get("messages", []))
 
 
 @dataclass
 class EngineFaults:
-    """What goes wrong now.
+    """Faults that are currently injected.
 
     Parameters
     ----------
     slow
-        Factor on every span of time.
+        Factor by which every duration is multiplied.
     break_after
-        Cut each stream after so many tokens; 0 cuts none.
+        Number of tokens after which each stream is cut off; 0 for never.
     fail
-        Answer every request with a 500.
+        Answer every completion request with status 500.
     hang
-        Take requests and answer nothing.
+        Accept completion requests and never answer them.
     leaving
-        Say in load reports that no new work is taken.
+        Announce in load reports that the engine takes no new work.
     limit
-        Requests a second that load reports name; 0 names none.
+        Limit in requests per second announced in load reports; 0 for none.
     """
 
     slow: float = 1.0
@@ -77,17 +77,19 @@
 
 
 @dataclass(frozen=True)
-class EngineFigures:
-    """How fast the engine is.
+class EngineParameters:
+    """Capacity and speed of the engine.
 
     Parameters
     ----------
     slots
-        Requests that run at once.
+        Number of requests that run concurrently.
     prefill_ms, decode_ms
-        Milliseconds for a thousand prompt tokens, and for one answer token.
+        Milliseconds per thousand prompt tokens, and per answer token.
     report_ms
-        Milliseconds between load reports.
+        Milliseconds for which a load report stays the same.
+    checks_fencing
+        Whether orders with an outdated fencing number are rejected.
     """
 
     slots: int = 8
@@ -99,7 +101,17 @@
 
 @dataclass
 class Run:
-    """What the engine did for one attempt."""
+    """What the engine did for one attempt, as `/audit` lists it.
+
+    Parameters
+    ----------
+    tokens
+        Number of tokens generated so far.
+    whole
+        Whether every token of the answer was generated.
+    stopped
+        Whether the attempt was cancelled.
+    """
 
     attempt: str
     prompt: str
@@ -109,7 +121,7 @@
 
 
 @dataclass
-class _Orders:
+class _OrderState:
     fencing: int = 0
     desired: dict[str, Any] = field(default_factory=dict)
 
@@ -120,32 +132,32 @@
     Parameters
     ----------
     exit_on_poison
-        Whether a poisonous prompt ends the process, as a crash would; without
-        it the engine only cuts all its streams.
+        Whether a prompt that contains `POISON` terminates the process, as a real
+        crash would; if not, the engine only aborts all its connections.
     """
 
     def __init__(
-        self, figures: EngineFigures | None = None, exit_on_poison: bool = False
+        self, parameters: EngineParameters | None = None, exit_on_poison: bool = False
     ) -> None:
-        self.figures = figures or EngineFigures()
+        self.parameters = parameters or EngineParameters()
         self.faults = EngineFaults()
         self.runs: list[Run] = []
-        self.orders = _Orders()
+        self.orders = _OrderState()
         self._exit_on_poison = exit_on_poison
         self._live: dict[str, Run] = {}
-        self._free = self.figures.slots
+        self._free = self.parameters.slots
         self._queue: list[tuple[int, int, asyncio.Future[None]]] = []
-        self._counter = itertools.count()
+        self._sequence = itertools.count()
         self._report: dict[str, Any] = {"running": 0, "waiting": 0}
         self._reported_at = 0.0
         self._server = HttpServer(self._handle)
 
     async def start(self, address: Address) -> Address:
-        """Listen, and return the address."""
+        """Start listening and return the bound address."""
         return await self._server.start(address)
 
     async def close(self) -> None:
-        """Cut every connection."""
+        """Stop listening and close every connection."""
         await self._server.close()
 
     async def _handle(self, request: HttpRequest, responder: Responder) -> None:
@@ -158,11 +170,11 @@
                 run.stopped = True
             await responder.send(_reply({"cancelled": run is not None}))
         elif path == "/load":
-            await responder.send(_reply(self._read_report()))
+            await responder.send(_reply(self._make_report()))
         elif path == "/cache-events":
             await responder.send(_reply({"events": []}))
         elif path == "/orders":
-            await responder.send(self._take_order(request))
+            await responder.send(self._accept_order(request))
         elif path == "/state":
             await responder.send(_reply(self.orders.desired))
         elif path == "/control/faults":
@@ -174,15 +186,15 @@
             await responder.send(Reply(404))
 
     def _set_faults(self, values: dict[str, Any]) -> None:
-        known = {item.name for item in fields(EngineFaults)}
-        for key in known & set(values):
+        field_names = {item.name for item in fields(EngineFaults)}
+        for key in field_names & set(values):
             setattr(self.faults, key, values[key])
 
-    def _read_report(self) -> dict[str, Any]:
+    def _make_report(self) -> dict[str, Any]:
         now = time.monotonic() * SECOND
-        if now - self._reported_at >= self.figures.report_ms:
+        if now - self._reported_at >= self.parameters.report_ms:
             self._reported_at = now
-            running = self.figures.slots - self._free
+            running = self.parameters.slots - self._free
             self._report = {"running": running, "waiting": len(self._queue)}
         return {
             **self._report,
@@ -191,28 +203,28 @@
             "requests_per_second": self.faults.limit or None,
         }
 
-    def _take_order(self, request: HttpRequest) -> Reply:
+    def _accept_order(self, request: HttpRequest) -> Reply:
         order = parse_object(request.body)
-        old = int(order["fencing"]) < self.orders.fencing
-        if self.figures.checks_fencing and old:
+        outdated = int(order["fencing"]) < self.orders.fencing
+        if self.parameters.checks_fencing and outdated:
             return Reply(409, [JSON_TYPE], dump_json({"accepted": False}))
         self.orders.fencing = max(self.orders.fencing, int(order["fencing"]))
         self.orders.desired = {**self.orders.desired, **order["desired"]}
         return _reply({"accepted": True})
 
-    async def _take_slot(self, priority: int) -> None:
+    async def _acquire_slot(self, priority: int) -> None:
         if self._free > 0:
             self._free -= 1
             return
-        turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        heapq.heappush(self._queue, (-priority, next(self._counter), turn))
-        await turn
+        slot: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        heapq.heappush(self._queue, (-priority, next(self._sequence), slot))
+        await slot
 
-    def _give_slot(self) -> None:
+    def _release_slot(self) -> None:
         while self._queue:
-            _, _, turn = heapq.heappop(self._queue)
-            if not turn.done():
-                turn.set_result(None)
+            _, _, slot = heapq.heappop(self._queue)
+            if not slot.done():
+                slot.set_result(None)
                 return
         self._free += 1
 
@@ -226,7 +238,7 @@
         run = Run(attempt, prompt)
         self.runs.append(run)
         self._live[attempt] = run
-        await self._take_slot(int(body.get("priority", 0)))
+        await self._acquire_slot(int(body.get("priority", 0)))
         try:
             if self.faults.hang:
                 await asyncio.Event().wait()
@@ -234,7 +246,7 @@
                 self._crash()
             await self._generate(body, run, responder)
         finally:
-            self._give_slot()
+            self._release_slot()
             self._live.pop(attempt, None)
 
     def _crash(self) -> None:
@@ -247,15 +259,15 @@
         self, body: dict[str, Any], run: Run, responder: Responder
     ) -> None:
         prompt_tokens = len(run.prompt.encode()) // _BYTES_PER_TOKEN + 1
-        await self._spend(prompt_tokens * self.figures.prefill_ms / 1000)
-        begin = len(str(body.get("continue_text", "")).split())
-        limit = int(body.get("max_tokens", _DEFAULT_ANSWER))
+        await self._sleep(prompt_tokens * self.parameters.prefill_ms / 1000)
+        first_position = len(str(body.get("continue_text", "")).split())
+        limit = int(body.get("max_tokens", _DEFAULT_MAX_TOKENS))
         stream = bool(body.get("stream"))
         if stream:
-            named = ("x-request-id", run.attempt)
-            await responder.start(200, [EVENT_STREAM_TYPE, named])
-        for position in range(begin, limit):
-            await self._spend(self.figures.decode_ms)
+            attempt_header = ("x-request-id", run.attempt)
+            await responder.start(200, [EVENT_STREAM_TYPE, attempt_header])
+        for position in range(first_position, limit):
+            await self._sleep(self.parameters.decode_ms)
             if run.stopped or (
                 self.faults.break_after and run.tokens >= (self.faults.break_after)
             ):
@@ -268,7 +280,7 @@
         run.whole = True
         usage = {"prompt_tokens": prompt_tokens, "completion_tokens": limit}
         if stream:
-            await responder.write(_encode_end(usage))
+            await responder.write(_encode_last_events(usage))
             await responder.finish()
             return
         text = make_answer(run.prompt, limit)
@@ -276,8 +288,8 @@
         choice = {"index": 0, "message": message, "finish_reason": "stop"}
         await responder.send(_reply({"choices": [choice], "usage": usage}))
 
-    async def _spend(self, span: float) -> None:
-        await asyncio.sleep(span * self.faults.slow / SECOND)
+    async def _sleep(self, duration_ms: float) -> None:
+        await asyncio.sleep(duration_ms * self.faults.slow / SECOND)
 
 
 def _encode_token(token: str) -> bytes:
@@ -285,10 +297,10 @@
     return Event(json.dumps({"choices": [choice]})).encode()
 
 
-def _encode_end(usage: dict[str, int]) -> bytes:
+def _encode_last_events(usage: dict[str, int]) -> bytes:
     choice = {"index": 0, "delta": {}, "finish_reason": "stop"}
-    last = Event(json.dumps({"choices": [choice], "usage": usage}))
-    return last.encode() + Event("[DONE]").encode()
+    last_chunk = Event(json.dumps({"choices": [choice], "usage": usage}))
+    return last_chunk.encode() + Event("[DONE]").encode()
 
 
 def _reply(value: dict[str, Any]) -> Reply:
--- a/anvilshift/standins/platform.py
+++ b/anvilshift/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform: objects with versions, watches, a host list, faults."""
+"""Stand-in for the platform: versioned objects, watches, a host list, faults."""
 
 import asyncio
 import random
@@ -12,25 +12,25 @@
 from anvilshift.wire.messages import JSON_TYPE, Address, HttpRequest, Reply
 from anvilshift.wire.server import HttpServer, Responder
 
-_HISTORY = 10_000
+_MAX_CHANGES = 10_000
 
 
 @dataclass
 class Faults:
-    """What goes wrong now.
+    """Faults that are currently injected.
 
     Parameters
     ----------
     outage
-        Answer nothing and cut the connection.
+        Close the connection of every call without an answer.
     delay_ms
-        Wait before each call.
+        Delay in milliseconds before each call is processed.
     lose_answers
-        Share of writes that take effect and get no answer.
+        Probability that a write takes effect but gets no answer.
     errors
-        Share of calls that get a 500 and have no effect.
+        Probability that a call gets status 500 and has no effect.
     garbage
-        Share of calls whose answer can't be read.
+        Probability that the answer to a call can't be parsed.
     """
 
     outage: bool = False
@@ -42,12 +42,23 @@
 
 @dataclass
 class PlatformState:
-    """Everything that the stand-in keeps."""
+    """State of the stand-in.
+
+    Parameters
+    ----------
+    history
+        Most recent changes, oldest first.
+    calls
+        Number of calls by operation.
+    forgotten
+        Newest revision whose change is no longer in the history; a watch from
+        an older revision gets status 410.
+    """
 
     revision: int = 1
     objects: dict[tuple[str, str], dict[str, Any]] = field(default_factory=dict)
     history: deque[dict[str, Any]] = field(
-        default_factory=lambda: deque(maxlen=_HISTORY)
+        default_factory=lambda: deque(maxlen=_MAX_CHANGES)
     )
     hosts: list[dict[str, Any]] = field(default_factory=list)
     calls: Counter[str] = field(default_factory=Counter)
@@ -55,7 +66,13 @@
 
 
 class PlatformStandin:
-    """Serve the object API from memory."""
+    """Serve the platform's object API from memory over HTTP.
+
+    Parameters
+    ----------
+    seed
+        Seed of the random choice of calls that faults affect.
+    """
 
     def __init__(self, seed: int = 0) -> None:
         self.state = PlatformState()
@@ -65,11 +82,11 @@
         self._server = HttpServer(self._handle)
 
     async def start(self, address: Address) -> Address:
-        """Listen, and return the address."""
+        """Start listening and return the bound address."""
         return await self._server.start(address)
 
     async def close(self) -> None:
-        """Cut every connection."""
+        """Stop listening and close every connection."""
         await self._server.close()
 
     async def _handle(self, request: HttpRequest, responder: Responder) -> None:
@@ -84,7 +101,7 @@
         if self._rng.random() < self.faults.errors:
             await responder.send(Reply(500))
             return
-        reply = await self._answer(request)
+        reply = await self._process(request)
         lost = request.method in ("PUT", "DELETE") and (
             self._rng.random() < self.faults.lose_answers
         )
@@ -98,9 +115,9 @@
     def _control(self, request: HttpRequest) -> Reply:
         name = request.path.removeprefix("/control/")
         if name == "faults":
-            known = {item.name for item in fields(Faults)}
+            field_names = {item.name for item in fields(Faults)}
             for key, value in parse_object(request.body).items():
-                if key in known:
+                if key in field_names:
                     setattr(self.faults, key, value)
             return _reply(200, {})
         if name == "hosts":
@@ -112,7 +129,7 @@
             return _reply(200, {})
         return _reply(200, dict(self.state.calls))
 
-    async def _answer(self, request: HttpRequest) -> Reply:
+    async def _process(self, request: HttpRequest) -> Reply:
         parts = [unquote(part) for part in request.path.split("/")[2:]]
         if parts == ["hosts"]:
             self.state.calls["hosts"] += 1
@@ -136,30 +153,30 @@
         found = self.state.objects.get(key)
         return _reply(200, found) if found else _reply(404, {})
 
-    def _holds(self, key: tuple[str, str], request: HttpRequest) -> bool:
+    def _matches_precondition(self, key: tuple[str, str], request: HttpRequest) -> bool:
         found = self.state.objects.get(key)
-        match = request.headers.get("if-match")
-        if match is not None:
-            return found is not None and str(found["version"]) == match
+        expected_version = request.headers.get("if-match")
+        if expected_version is not None:
+            return found is not None and str(found["version"]) == expected_version
         return found is None
 
     async def _put(self, key: tuple[str, str], request: HttpRequest) -> Reply:
-        if not self._holds(key, request):
+        if not self._matches_precondition(key, request):
             return _reply(409, self.state.objects.get(key, {}))
-        stored = self._record(key, parse_object(request.body))
+        stored = self._append_change(key, parse_object(request.body))
         self.state.objects[key] = stored
-        await self._announce()
+        await self._notify_watchers()
         return _reply(200, stored)
 
     async def _delete(self, key: tuple[str, str], request: HttpRequest) -> Reply:
-        if not self._holds(key, request):
+        if not self._matches_precondition(key, request):
             return _reply(409, self.state.objects.get(key, {}))
         del self.state.objects[key]
-        stored = self._record(key, None)
-        await self._announce()
+        stored = self._append_change(key, None)
+        await self._notify_watchers()
         return _reply(200, stored)
 
-    def _record(
+    def _append_change(
         self, key: tuple[str, str], body: dict[str, Any] | None
     ) -> dict[str, Any]:
         self.state.revision += 1
@@ -169,12 +186,12 @@
             "version": self.state.revision,
             "body": body,
         }
-        if len(self.state.history) == _HISTORY:
+        if len(self.state.history) == _MAX_CHANGES:
             self.state.forgotten = self.state.history[0]["version"]
         self.state.history.append(stored)
         return stored
 
-    async def _announce(self) -> None:
+    async def _notify_watchers(self) -> None:
         async with self._changed:
             self._changed.notify_all()
 
@@ -186,13 +203,15 @@
             return _reply(410, {})
         try:
             async with asyncio.timeout(wait), self._changed:
-                await self._changed.wait_for(lambda: bool(self._since(kinds, after)))
+                await self._changed.wait_for(
+                    lambda: bool(self._changes_since(kinds, after))
+                )
         except TimeoutError:
             pass
-        found = self._since(kinds, after)
+        found = self._changes_since(kinds, after)
         return _reply(200, {"revision": self.state.revision, "changes": found})
 
-    def _since(self, kinds: list[str], after: int) -> list[dict[str, Any]]:
+    def _changes_since(self, kinds: list[str], after: int) -> list[dict[str, Any]]:
         found = []
         for item in reversed(self.state.history):
             if item["version"] <= after:
--- a/anvilshift/standins/relay.py
+++ b/anvilshift/standins/relay.py
@@ -1,4 +1,4 @@
-"""Stand in for a bad network: a TCP relay with faults on each direction."""
+"""Stand-in for an unreliable network: a TCP relay with faults in each direction."""
 
 import asyncio
 import socket
@@ -11,28 +11,28 @@
 from anvilshift.wire.messages import JSON_TYPE, Address, HttpRequest, Reply
 from anvilshift.wire.server import HttpServer, Responder
 
-_CHUNK = 64 * 1024
-_DRIP_PAUSE_S = 0.01
-_RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+_CHUNK_BYTES = 64 * 1024
+_DRIP_INTERVAL_S = 0.01
+_ZERO_LINGER = struct.pack("ii", 1, 0)
 
 
 @dataclass
 class RelayFaults:
-    """What goes wrong now; bytes that a fault holds back are lost.
+    """Faults that are currently injected; data that a fault drops is lost for good.
 
     Parameters
     ----------
     delay_ms
-        Wait before each piece is passed on.
+        Delay in milliseconds before each chunk is forwarded.
     cut_there, cut_back
-        Drop what goes to the target, or what comes back, in silence.  Both
-        together are a black hole.
+        Silently drop data sent to the target, or data received from it.  Both
+        together form a black hole.
     drip
-        Bytes passed on every 10 ms; 0 passes all.
+        Number of bytes forwarded every 10 ms; 0 for no limit.
     half_open
-        Accept connections and never connect to the target.
+        Accept connections but never connect to the target.
     refuse
-        Reset new connections at once.
+        Reset each new connection as soon as it is accepted.
     """
 
     delay_ms: float = 0.0
@@ -44,14 +44,15 @@
 
 
 class Relay:
-    """Pass connections on to one target.
+    """Forward TCP connections to one target.
 
     Parameters
     ----------
     target
-        Where connections lead.
+        Address to which connections are forwarded.
     control
-        Address of the port that takes faults as JSON, none without it.
+        Address at which an HTTP server accepts faults as JSON; None for no
+        such server.
     """
 
     def __init__(self, target: Address, control: Address | None = None) -> None:
@@ -64,7 +65,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, address: Address) -> Address:
-        """Listen, and return the address."""
+        """Start listening and return the bound address."""
         self._server = await asyncio.start_server(
             self._accept, address.ip, address.port
         )
@@ -74,7 +75,7 @@
         return Address(address.ip, port)
 
     async def close(self) -> None:
-        """Cut every connection."""
+        """Stop listening and close every connection."""
         if self._server is not None:
             self._server.close()
         for task in self._tasks:
@@ -83,7 +84,7 @@
         await self._control.close()
 
     def reset(self) -> None:
-        """Reset every connection that is open now."""
+        """Reset every open connection, to callers as well as to the target."""
         for writer in list(self._writers):
             _reset(writer)
 
@@ -91,9 +92,9 @@
         if request.path == "/control/reset":
             self.reset()
         elif request.path == "/control/faults":
-            known = {item.name for item in fields(RelayFaults)}
+            field_names = {item.name for item in fields(RelayFaults)}
             for key, value in parse_object(request.body).items():
-                if key in known:
+                if key in field_names:
                     setattr(self.faults, key, value)
         else:
             await responder.send(Reply(404))
@@ -108,7 +109,7 @@
         self._tasks.add(task)
         self._writers.add(writer)
         try:
-            await self._join(reader, writer)
+            await self._connect(reader, writer)
         except (OSError, asyncio.CancelledError):
             pass
         finally:
@@ -116,49 +117,51 @@
             self._writers.discard(writer)
             writer.close()
 
-    async def _join(
+    async def _connect(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         if self.faults.refuse:
             _reset(writer)
             return
         if self.faults.half_open:
-            while await reader.read(_CHUNK):
+            while await reader.read(_CHUNK_BYTES):
                 pass
             return
-        back, there = await asyncio.open_connection(self._target.ip, self._target.port)
-        self._writers.add(there)
-        passing = [
+        target_reader, target_writer = await asyncio.open_connection(
+            self._target.ip, self._target.port
+        )
+        self._writers.add(target_writer)
+        forwarding = [
             asyncio.ensure_future(
-                self._pass(reader, there, lambda: self.faults.cut_there)
+                self._forward(reader, target_writer, lambda: self.faults.cut_there)
             ),
             asyncio.ensure_future(
-                self._pass(back, writer, lambda: self.faults.cut_back)
+                self._forward(target_reader, writer, lambda: self.faults.cut_back)
             ),
         ]
         try:
-            await asyncio.wait(passing, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(forwarding, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for task in passing:
+            for task in forwarding:
                 task.cancel()
-            await asyncio.gather(*passing, return_exceptions=True)
-            self._writers.discard(there)
-            there.close()
+            await asyncio.gather(*forwarding, return_exceptions=True)
+            self._writers.discard(target_writer)
+            target_writer.close()
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        cut: Callable[[], bool],
+        is_cut: Callable[[], bool],
     ) -> None:
-        while data := await reader.read(_CHUNK):
+        while data := await reader.read(_CHUNK_BYTES):
             await asyncio.sleep(self.faults.delay_ms / SECOND)
-            if cut():
+            if is_cut():
                 continue
             await self._write(writer, data)
-        # A cut network brings no end of a connection either.
-        while cut():
-            await asyncio.sleep(_DRIP_PAUSE_S)
+        # A partitioned network does not deliver the end of a connection either.
+        while is_cut():
+            await asyncio.sleep(_DRIP_INTERVAL_S)
 
     async def _write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         while data:
@@ -167,12 +170,12 @@
             await writer.drain()
             data = data[size:]
             if data:
-                await asyncio.sleep(_DRIP_PAUSE_S)
+                await asyncio.sleep(_DRIP_INTERVAL_S)
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """Close a connection so that its peer sees a reset."""
-    raw = writer.get_extra_info("socket")
-    if raw is not None:
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
+    """Close a connection with a TCP reset instead of an orderly shutdown."""
+    raw_socket = writer.get_extra_info("socket")
+    if raw_socket is not None:
+        raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _ZERO_LINGER)
     writer.transport.abort()
--- a/anvilshift/standins/service.py
+++ b/anvilshift/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand in for a plain service that takes orders and keeps count of them."""
+"""Stand-in for a plain service that counts the requests that it runs."""
 
 import asyncio
 from collections import Counter
@@ -12,16 +12,16 @@
 
 @dataclass
 class ServiceFaults:
-    """What goes wrong now.
+    """Faults that are currently injected.
 
     Parameters
     ----------
     delay_ms
-        Wait before each call runs.
+        Delay in milliseconds before each request runs.
     hold_ms
-        Wait between a call's run and its answer.
+        Delay in milliseconds between running a request and answering it.
     lose_answers
-        Run each call and cut the connection instead of answering.
+        Run each request, then close its connection without an answer.
     """
 
     delay_ms: float = 0.0
@@ -30,7 +30,7 @@
 
 
 class ServiceStandin:
-    """Answer any call and count how often each body has run."""
+    """Answer any request; count runs by method, path and body."""
 
     def __init__(self) -> None:
         self.faults = ServiceFaults()
@@ -38,11 +38,11 @@
         self._server = HttpServer(self._handle)
 
     async def start(self, address: Address) -> Address:
-        """Listen, and return the address."""
+        """Start listening and return the bound address."""
         return await self._server.start(address)
 
     async def close(self) -> None:
-        """Cut every connection."""
+        """Stop listening and close every connection."""
         await self._server.close()
 
     async def _handle(self, request: HttpRequest, responder: Responder) -> None:
@@ -56,8 +56,8 @@
             await responder.send(Reply(200, [JSON_TYPE], body))
             return
         await asyncio.sleep(self.faults.delay_ms / SECOND)
-        work = f"{request.method} {request.path} {request.body.decode()}"
-        self.ran[work] += 1
+        executed_request = f"{request.method} {request.path} {request.body.decode()}"
+        self.ran[executed_request] += 1
         await asyncio.sleep(self.faults.hold_ms / SECOND)
         if self.faults.lose_answers:
             responder.abort()
@@ -65,6 +65,6 @@
         if request.path == "/echo":
             await responder.send(Reply(200, [JSON_TYPE], request.body))
             return
-        number = sum(self.ran.values())
-        body = dump_json({"accepted": number, "path": request.path})
+        total = sum(self.ran.values())
+        body = dump_json({"accepted": total, "path": request.path})
         await responder.send(Reply(201, [JSON_TYPE], body))
--- a/anvilshift/standins/virtual.py
+++ b/anvilshift/standins/virtual.py
@@ -1,4 +1,4 @@
-"""Run asyncio code in virtual time: a wait costs no time and replays the same."""
+"""Run asyncio code in virtual time, so that waits are instant and reproducible."""
 
 import asyncio
 import selectors
@@ -8,57 +8,59 @@
 from anvilshift.core.clock import SECOND, Millis
 
 Result = TypeVar("Result")
-_TURN_S = 1e-9
-"""Time that a turn of the loop takes when only timers are left.  Were it none,
-code that waits for the last bit of an instant would wait for ever: no timer
-moves the time by so little."""
+_ITERATION_S = 1e-9
+"""Virtual time that an iteration of the loop takes if no callback is ready.  With
+0, code that waits for the last floating-point increment up to an instant would
+wait for ever, because no timer advances the clock by so small an amount."""
 
 
 class _Selector(selectors.SelectSelector):
-    """Pass the time that the loop would have waited."""
+    """Advance virtual time by the timeout instead of waiting for it."""
 
     now = 0.0
 
     def select(self, timeout: float | None = None) -> Any:
-        found = super().select(0)
-        if not found and timeout is None:
-            raise RuntimeError("nothing will ever happen again on this loop")
-        if not found and timeout is not None:
+        ready = super().select(0)
+        if not ready and timeout is None:
+            raise RuntimeError(
+                "deadlock: the loop has no ready callback, timer or I/O event"
+            )
+        if not ready and timeout is not None:
             self.now += timeout
-        return found
+        return ready
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock moves on only when nothing is left to do."""
+    """An event loop whose clock advances only while no callback is ready."""
 
     def __init__(self) -> None:
-        self._virtual = _Selector()
-        super().__init__(self._virtual)
+        self._virtual_selector = _Selector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self._virtual.now
+        return self._virtual_selector.now
 
     def _run_once(self) -> None:
         if not self._ready:  # type: ignore[attr-defined]
-            self._virtual.now += _TURN_S
+            self._virtual_selector.now += _ITERATION_S
         super()._run_once()  # type: ignore[misc]
 
 
 class VirtualClock:
-    """The clock of the running loop."""
+    """A clock that reads the virtual time of the running loop."""
 
     def now(self) -> Millis:
-        """Return the present instant in milliseconds."""
+        """Return the current virtual time in milliseconds."""
         return asyncio.get_running_loop().time() * SECOND
 
     def wall(self) -> int:
-        """Return the present instant in whole seconds."""
+        """Return the current virtual time in whole seconds."""
         return int(asyncio.get_running_loop().time())
 
 
 def run_virtual(work: Coroutine[Any, Any, Result]) -> Result:
-    """Run a coroutine to its end on a loop of virtual time.
+    """Run a coroutine to completion on a virtual-time event loop.
 
     Examples
     --------
--- a/tests/operator/test_calling.py
+++ b/tests/operator/test_calling.py
@@ -1,4 +1,4 @@
-"""`anvilshift call` prints the answer and says by its exit code what became of it."""
+"""Test the output and the exit codes of `anvilshift call`."""
 
 import contextlib
 import io
@@ -20,30 +20,32 @@
         self.addAsyncCleanup(self.fleet.close)
         await self.fleet.start()
 
-    async def call(self, model="m", deadline=5_000.0, key="", once=False):
-        asked = make_conversation(model, "tank", 4, deadline, key, once)
+    async def call(self, model="m", deadline=5_000.0, key="", non_idempotent=False):
+        conversation = make_conversation(
+            model, "tank", 4, deadline, key, non_idempotent
+        )
         with (
-            contextlib.redirect_stdout(io.StringIO()) as out,
-            contextlib.redirect_stderr(io.StringIO()) as errors,
+            contextlib.redirect_stdout(io.StringIO()) as stdout,
+            contextlib.redirect_stderr(io.StringIO()) as stderr,
         ):
-            code = await print_answer(self.fleet.client(), asked)
-        return code, out.getvalue(), errors.getvalue()
+            code = await print_answer(self.fleet.client(), conversation)
+        return code, stdout.getvalue(), stderr.getvalue()
 
     async def test_answer_is_printed(self):
         self.assertEqual(await self.call(), (0, make_answer("tank", 4) + "\n", ""))
 
-    async def test_refusal_says_that_nothing_ran(self):
+    async def test_refused_request_exits_with_not_run(self):
         code, _, errors = await self.call(model="other")
         self.assertEqual(code, EXIT_NOT_RUN)
         self.assertIn("1005", errors)
 
-    async def test_order_that_broke_off_is_unknown(self):
+    async def test_interrupted_non_idempotent_call_is_unknown(self):
         self.fleet.engines[0].faults.break_after = 1
-        code, _, _ = await self.call(key="k", once=True)
+        code, _, _ = await self.call(key="k", non_idempotent=True)
         self.assertEqual(code, EXIT_UNKNOWN)
 
-    async def test_order_runs_once_and_its_repeat_prints_the_same(self):
-        first = await self.call(key="k", once=True)
-        self.assertEqual(first, await self.call(key="k", once=True))
+    async def test_repeat_with_same_key_runs_once_and_prints_the_same(self):
+        first = await self.call(key="k", non_idempotent=True)
+        self.assertEqual(first, await self.call(key="k", non_idempotent=True))
         self.assertEqual(first[1], make_answer("tank", 4) + "\n")
         self.assertEqual(len(self.fleet.engines[0].runs), 1)
--- a/tests/standins/test_memory.py
+++ b/tests/standins/test_memory.py
@@ -1,4 +1,4 @@
-"""The platform in memory behaves as the one behind HTTP, faults included."""
+"""Test that the in-memory platform behaves like the HTTP one, with faults."""
 
 import asyncio
 import unittest
@@ -12,7 +12,7 @@
     def setUp(self):
         self.store = MemoryStore()
 
-    async def test_write_needs_the_version(self):
+    async def test_write_requires_the_current_version(self):
         first = await self.store.put("Note", "a", {"n": 1}, 0)
         with self.assertRaises(ConflictError):
             await self.store.put("Note", "a", {"n": 2}, 0)
@@ -29,14 +29,14 @@
         await update(self.store, "Note", "b", lambda _: {"n": 2})
         self.assertEqual(self.store.peek("Note", "b"), {"n": 2})
 
-    async def test_cut_stops_one_caller_only(self):
+    async def test_cut_affects_only_one_caller(self):
         self.store.faults.cut = {"r1"}
         with self.assertRaises(AnvilshiftError) as caught:
             await self.store.view("r1").get("Note", "a")
         self.assertEqual(caught.exception.code, PLATFORM_DOWN)
         self.assertIsNone(await self.store.view("r2").get("Note", "a"))
 
-    async def test_watch_hears_a_later_change(self):
+    async def test_watch_returns_a_later_change(self):
         watching = asyncio.create_task(self.store.watch(["Note"], 0, 5_000.0))
         await self.store.put("Note", "a", {"n": 1}, 0)
         changes = await watching
@@ -44,7 +44,7 @@
         self.store.forget_history()
         self.assertTrue((await self.store.watch(["Note"], 0, 0.0)).too_old)
 
-    async def test_kept_body_is_apart_from_the_callers(self):
+    async def test_stored_body_is_a_copy(self):
         body = {"list": [1]}
         await self.store.put("Note", "a", body, 0)
         body["list"].append(2)
--- a/tests/standins/test_relay.py
+++ b/tests/standins/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay passes bytes on, and each of its faults is what it says."""
+"""Test that the relay forwards bytes and applies each of its faults."""
 
 import asyncio
 import contextlib
@@ -7,22 +7,22 @@
 from anvilshift.standins.relay import Relay
 from anvilshift.wire.messages import Address
 
-ANY = Address("127.0.0.1", 0)
+ANY_PORT = Address("127.0.0.1", 0)
 
 
 class RelayTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.received = b""
-        self.echo = await asyncio.start_server(self.answer, "127.0.0.1", 0)
+        self.echo = await asyncio.start_server(self.echo_back, "127.0.0.1", 0)
         port = self.echo.sockets[0].getsockname()[1]
         self.relay = Relay(Address("127.0.0.1", port))
-        self.address = await self.relay.start(ANY)
+        self.address = await self.relay.start(ANY_PORT)
 
     async def asyncTearDown(self):
         await self.relay.close()
         self.echo.close()
 
-    async def answer(self, reader, writer):
+    async def echo_back(self, reader, writer):
         with contextlib.suppress(ConnectionResetError):
             while data := await reader.read(100):
                 self.received += data
@@ -32,32 +32,32 @@
     async def connect(self):
         return await asyncio.open_connection(self.address.ip, self.address.port)
 
-    async def hears_nothing(self, reader) -> bool:
+    async def receives_nothing(self, reader) -> bool:
         try:
             await asyncio.wait_for(reader.read(1), 0.1)
         except TimeoutError:
             return True
         return False
 
-    async def test_bytes_pass_both_ways(self):
+    async def test_bytes_are_forwarded_in_both_directions(self):
         reader, writer = await self.connect()
         writer.write(b"hello")
         self.assertEqual(await reader.readexactly(5), b"hello")
         writer.close()
 
-    async def test_one_way_cut_drops_only_that_way(self):
+    async def test_cut_drops_only_one_direction(self):
         reader, writer = await self.connect()
         self.relay.faults.cut_back = True
         writer.write(b"there")
-        self.assertTrue(await self.hears_nothing(reader))
+        self.assertTrue(await self.receives_nothing(reader))
         self.assertEqual(self.received, b"there")
         self.relay.faults.cut_back, self.relay.faults.cut_there = False, True
         writer.write(b"lost")
-        self.assertTrue(await self.hears_nothing(reader))
+        self.assertTrue(await self.receives_nothing(reader))
         self.assertEqual(self.received, b"there")
         writer.close()
 
-    async def test_reset_is_a_reset(self):
+    async def test_reset_raises_connection_reset(self):
         reader, writer = await self.connect()
         writer.write(b"x")
         await reader.readexactly(1)
@@ -70,11 +70,11 @@
         self.relay.faults.half_open = True
         reader, writer = await self.connect()
         writer.write(b"x")
-        self.assertTrue(await self.hears_nothing(reader))
+        self.assertTrue(await self.receives_nothing(reader))
         self.assertEqual(self.received, b"")
         writer.close()
 
-    async def test_drip_passes_a_few_bytes_at_a_time(self):
+    async def test_drip_forwards_a_few_bytes_at_a_time(self):
         self.relay.faults.drip = 2
         reader, writer = await self.connect()
         writer.write(b"abcdef")
