--- a/bench/budgets.py
+++ b/bench/budgets.py
@@ -1,11 +1,12 @@
-"""Compare ways to spend a prepaid budget: ``make budgets``.
-
-The routers' own treasury runs in virtual time on a platform in memory that
-takes 4 ms a call; every way sees the same requests.  Refusals are judged
-against what is really left: a refusal is false when the budget's tokens, less
-those spent and those reserved by work in flight, would have paid for it all the
-time from its arrival to its refusal.  (Counted at the instant of the refusal
-alone, all of 40 requests that wait for the last 300 tokens would be.)
+"""Compare strategies for spending a prepaid budget (``make budgets``).
+
+The treasury of the routers runs in virtual time on an in-memory platform with
+4 ms per call, and every strategy receives the same requests.  Refusals are
+checked against the tokens that are really left.  A refusal is false when the
+tokens of the budget, less those spent and those reserved by requests in flight,
+covered the request during the whole time from its arrival to its refusal.  (If
+only the instant of the refusal counted, then of 40 requests that wait for the
+last 300 tokens all would be false refusals.)
 """
 
 import asyncio
@@ -30,8 +31,8 @@
 from anvilshift.standins.virtual import VirtualClock, run_virtual
 
 ROUTERS = 5
-CALL_S = 0.004
-SPACING: Millis = 250.0
+PLATFORM_CALL_S = 0.004
+COMMIT_SPACING: Millis = 250.0
 
 
 @dataclass(frozen=True)
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Load:
-    """A user's load: budgets, their tokens, and how requests fall on them."""
+    """A workload: budgets, their tokens, and the rate of the requests."""
 
     name: str
     budgets: int
@@ -60,7 +61,7 @@
     grant: int
 
     def make_trace(self, seed: int) -> list[Request]:
-        """Return the requests; a few routers and budgets are hot."""
+        """Return the requests; a few routers and budgets receive most of them."""
         rng = random.Random(seed)
         now, trace = 0.0, []
         while now < self.seconds:
@@ -79,23 +80,23 @@
 STEADY = Load("steady", 5, 10**8, 250.0, 8.0, allowance=2_000, grant=20_000)
 
 
-class Teller(Protocol):
-    """One router's way to spend."""
+class BudgetClient(Protocol):
+    """The access of one router to the budgets."""
 
     async def reserve(self, account: str, key: str, tokens: int) -> None:
-        """Set tokens aside."""
+        """Reserve tokens of an account for a request."""
 
     def release(self, account: str, key: str) -> None:
-        """Give a reservation up."""
+        """Release a reservation."""
 
     async def settle(
         self, account: str, key: str, organisation: str, tokens: int
     ) -> None:
-        """Bill."""
+        """Bill the used tokens of a request."""
 
 
-class WriteTeller:
-    """Write the ledger at each reservation and at each bill."""
+class LedgerWriteClient:
+    """Writes the ledger for each reservation and each bill."""
 
     def __init__(self, store: MemoryStore, name: str) -> None:
         self._store = store.view(name)
@@ -117,7 +118,7 @@
             self._escrow.finish_commit(commit, outcomes[-1])
 
     async def reserve(self, account: str, key: str, tokens: int) -> None:
-        """Set tokens aside by a write."""
+        """Reserve tokens, with a write to the ledger when the grant is too small."""
         self._escrow.open(account, 0, 0)
         if not self._escrow.reserve(account, key, tokens):
             await self._commit()
@@ -126,104 +127,106 @@
             raise AnvilshiftError(code)
 
     def release(self, account: str, key: str) -> None:
-        """Give a reservation up."""
+        """Release a reservation."""
         self._escrow.release(account, key)
 
     async def settle(
         self, account: str, key: str, organisation: str, tokens: int
     ) -> None:
-        """Bill by a write."""
+        """Bill the used tokens with a write to the ledger."""
         bill = Bill(key, organisation, tokens, self._escrow.holder)
         self._escrow.bill(account, bill)
         await self._commit()
 
 
-class ShareTeller:
-    """Spend from an own share of each budget; nobody else reaches it."""
+class FixedShareClient:
+    """Spends from a fixed share of each budget that no other router can use."""
 
     def __init__(self, treasury: Treasury, number: int) -> None:
         self._treasury = treasury
         self._number = number
 
-    def _own(self, account: str) -> str:
+    def _share_account(self, account: str) -> str:
         return f"{account}/{self._number}"
 
     async def reserve(self, account: str, key: str, tokens: int) -> None:
-        """Set tokens aside."""
-        await self._treasury.reserve(self._own(account), key, tokens)
+        """Reserve tokens of an account for a request."""
+        await self._treasury.reserve(self._share_account(account), key, tokens)
 
     def release(self, account: str, key: str) -> None:
-        """Give a reservation up."""
-        self._treasury.release(self._own(account), key)
+        """Release a reservation."""
+        self._treasury.release(self._share_account(account), key)
 
     async def settle(
         self, account: str, key: str, organisation: str, tokens: int
     ) -> None:
-        """Bill."""
-        await self._treasury.settle(self._own(account), key, organisation, tokens)
+        """Bill the used tokens of a request."""
+        await self._treasury.settle(
+            self._share_account(account), key, organisation, tokens
+        )
 
 
 @dataclass
 class Fleet:
-    """A platform, the routers' tellers and what callers received."""
+    """A platform, the routers' budget clients and the results of the callers."""
 
-    way: str
+    strategy: str
     load: Load
     store: MemoryStore = field(default_factory=MemoryStore)
-    tellers: list[Teller] = field(default_factory=list)
+    clients: list[BudgetClient] = field(default_factory=list)
     treasuries: list[Treasury] = field(default_factory=list)
     left: dict[str, int] = field(default_factory=dict)
     received: dict[str, int] = field(default_factory=dict)
     served: int = 0
     refused: int = 0
-    false: int = 0
-    unpaid: int = 0
-    ends: list[float] = field(default_factory=list)
-    dead: set[int] = field(default_factory=set)
-    least: dict[str, dict[str, int]] = field(default_factory=dict)
+    false_refusals: int = 0
+    settle_failures: int = 0
+    settle_waits: list[float] = field(default_factory=list)
+    killed: set[int] = field(default_factory=set)
+    lowest_remaining: dict[str, dict[str, int]] = field(default_factory=dict)
 
-    def _move(self, account: str, change: int) -> None:
+    def _change_remaining(self, account: str, change: int) -> None:
         self.left[account] += change
-        waiting = self.least.get(account, {})
+        waiting = self.lowest_remaining.get(account, {})
         for key in waiting:
             waiting[key] = min(waiting[key], self.left[account])
 
     async def open(self) -> None:
-        """Top up and start the routers."""
+        """Top up the budgets and create the budget clients of the routers."""
 
-        async def travel(caller: str, verb: str) -> None:
-            await asyncio.sleep(CALL_S / 2)
+        async def delay_call(caller: str, verb: str) -> None:
+            await asyncio.sleep(PLATFORM_CALL_S / 2)
 
-        self.store.faults.before = self.store.faults.after = travel
+        self.store.faults.before = self.store.faults.after = delay_call
         for number in range(self.load.budgets):
             await self._top_up(f"b{number}", self.load.tokens)
         for number in range(ROUTERS):
-            self.tellers.append(self._make(number))
+            self.clients.append(self._make_client(number))
 
     async def _top_up(self, account: str, tokens: int) -> None:
         self.left[account] = self.left.get(account, 0) + tokens
         names = [account]
-        if self.way == "fixed shares":
+        if self.strategy == "fixed shares":
             names = [f"{account}/{n}" for n in range(ROUTERS)]
         for name in names:
             await ledgers.top_up(self.store, name, "first", tokens // len(names))
 
-    def _make(self, number: int) -> Teller:
-        if self.way == "a write a request":
-            return WriteTeller(self.store, f"r{number}")
+    def _make_client(self, number: int) -> BudgetClient:
+        if self.strategy == "a write a request":
+            return LedgerWriteClient(self.store, f"r{number}")
         view = self.store.view(f"r{number}")
-        treasury = Treasury(view, VirtualClock(), f"r{number}-a", SPACING)
+        treasury = Treasury(view, VirtualClock(), f"r{number}-a", COMMIT_SPACING)
         self.treasuries.append(treasury)
         names = [f"b{n}" for n in range(self.load.budgets)]
-        if self.way == "fixed shares":
+        if self.strategy == "fixed shares":
             names = [f"{name}/{number}" for name in names]
         grant, allowance = self.load.grant, self.load.allowance
         budgets = {n: Budget(n, allowance=allowance, grant=grant) for n in names}
         treasury.configure(budgets)
-        if self.way == "fixed shares":
-            return ShareTeller(treasury, number)
+        if self.strategy == "fixed shares":
+            return FixedShareClient(treasury, number)
         treasury.ask_peers = lambda account: self._ask(number, account)
-        if self.way == "escrow, witnessed":
+        if self.strategy == "escrow, witnessed":
             witness = (number + 1) % ROUTERS
             treasury.hooks.choose_witness = lambda _: f"r{witness}-a"
             treasury.hooks.keep_witnessed = self._keep_witnessed
@@ -237,50 +240,50 @@
     async def _keep_witnessed(self, witness: str, holder: str, bills) -> bool:  # type: ignore[no-untyped-def]
         await asyncio.sleep(0.002)
         number = int(witness[1 : witness.index("-")])
-        alive = number not in self.dead
+        alive = number not in self.killed
         return alive and self.treasuries[number].copies.add(holder, bills, witness)
 
     async def serve(self, request: Request) -> None:
-        """Serve a request and judge what becomes of it."""
+        """Serve a request and classify its outcome."""
         await asyncio.sleep(request.at)
-        teller, account = self.tellers[request.router], request.account
-        least = self.least.setdefault(account, {})
-        least[request.key] = self.left[account]
+        client, account = self.clients[request.router], request.account
+        lowest_remaining = self.lowest_remaining.setdefault(account, {})
+        lowest_remaining[request.key] = self.left[account]
         try:
-            await teller.reserve(account, request.key, request.bound)
+            await client.reserve(account, request.key, request.bound)
         except AnvilshiftError:
             self.refused += 1
-            self.false += request.bound <= least.pop(request.key)
+            self.false_refusals += request.bound <= lowest_remaining.pop(request.key)
             return
-        del least[request.key]
-        self._move(account, -request.bound)
+        del lowest_remaining[request.key]
+        self._change_remaining(account, -request.bound)
         await asyncio.sleep(request.span)
         began = asyncio.get_running_loop().time()
         try:
-            await teller.settle(account, request.key, "all", request.tokens)
+            await client.settle(account, request.key, "all", request.tokens)
         except AnvilshiftError:
-            self.unpaid += 1
+            self.settle_failures += 1
             return
-        self.ends.append(asyncio.get_running_loop().time() - began)
-        self._move(account, request.bound - request.tokens)
+        self.settle_waits.append(asyncio.get_running_loop().time() - began)
+        self._change_remaining(account, request.bound - request.tokens)
         self.received[account] = self.received.get(account, 0) + request.tokens
         self.served += 1
 
     @property
     def ledger(self) -> Ledger:
-        """Return the ledger as the platform has it."""
+        """Return the ledger as the platform stores it."""
         return decode(Ledger, self.store.peek(LEDGER_KIND, LEDGER_NAME) or {})
 
     @property
     def overspend(self) -> int:
-        """Return the tokens that callers received beyond what was paid for."""
+        """Return the tokens that callers received beyond the prepaid amount."""
         total = self.load.tokens
         return sum(max(0, tokens - total) for tokens in self.received.values())
 
 
-async def run_load(way: str, load: Load, seed: int) -> str:
-    """Run a load without faults; return its row."""
-    fleet = Fleet(way, load)
+async def run_load(strategy: str, load: Load, seed: int) -> str:
+    """Run a workload without faults; return its row of the table."""
+    fleet = Fleet(strategy, load)
     await fleet.open()
     before = fleet.store.calls["put"]
     trace = load.make_trace(seed)
@@ -288,26 +291,29 @@
     await asyncio.sleep(load.seconds)
     puts = (fleet.store.calls["put"] - before) / load.seconds
     await asyncio.gather(*work)
-    ends = sorted(fleet.ends)
-    middle, tail = ends[len(ends) // 2], ends[int(len(ends) * 0.95)]
+    settle_waits = sorted(fleet.settle_waits)
+    median, tail = (
+        settle_waits[len(settle_waits) // 2],
+        settle_waits[int(len(settle_waits) * 0.95)],
+    )
     return (
-        f"{load.name:11} {way:18} overspend {fleet.overspend}, "
-        f"refused {fleet.refused} of {len(trace)}, false {fleet.false} "
-        f"({100 * fleet.false / len(trace):.2f}%), "
+        f"{load.name:11} {strategy:18} overspend {fleet.overspend}, "
+        f"refused {fleet.refused} of {len(trace)}, false {fleet.false_refusals} "
+        f"({100 * fleet.false_refusals / len(trace):.2f}%), "
         f"writes/s a router {puts / ROUTERS:.1f}, a budget {puts / load.budgets:.1f}, "
-        f"end waits p50 {middle * 1000:.0f} ms p95 {tail * 1000:.0f} ms"
+        f"end waits p50 {median * 1000:.0f} ms p95 {tail * 1000:.0f} ms"
     )
 
 
-async def run_crash(way: str, load: Load, seed: int) -> str:
-    """Kill a router in the midst of its work; return what stays in doubt."""
-    fleet = Fleet(way, load)
+async def run_crash(strategy: str, load: Load, seed: int) -> str:
+    """Kill a router with requests in flight; return the row of tokens in doubt."""
+    fleet = Fleet(strategy, load)
     await fleet.open()
     trace = [r for r in load.make_trace(seed) if r.at < 10]
     work = [asyncio.create_task(fleet.serve(request)) for request in trace]
     await asyncio.sleep(6)
     fleet.store.faults.cut.add("r0")
-    fleet.dead.add(0)
+    fleet.killed.add(0)
     before = fleet.ledger
     held = sum(a.grant("r0-a").held for a in before.accounts.values())
     for task in work:
@@ -318,57 +324,59 @@
         await treasury.sweep([f"r{n}-a" for n in range(ROUTERS)])
     left = sum(a.doubt for a in fleet.ledger.accounts.values())
     return (
-        f"{load.name:11} {way:18} allowance {load.allowance}: the dead held {held}, "
+        f"{load.name:11} {strategy:18} allowance {load.allowance}: "
+        f"the dead held {held}, "
         f"in doubt when sealed {sealed}, after the witness's sweep {left}"
     )
 
 
-async def run_outage(way: str, load: Load, seed: int) -> str:
-    """Take the platform away; return for how long answers still end."""
-    fleet = Fleet(way, load)
+async def run_outage(strategy: str, load: Load, seed: int) -> str:
+    """Run into a platform outage; return the row of how long answers still end."""
+    fleet = Fleet(strategy, load)
     await fleet.open()
     trace = load.make_trace(seed)
     work = [asyncio.create_task(fleet.serve(request)) for request in trace]
     await asyncio.sleep(10)
     fleet.store.faults.outage = True
-    served, lived = fleet.served, 0.0
+    served, last_served = fleet.served, 0.0
     first: float | None = None
     for tick in range(1, 100):
         refused = fleet.refused
         await asyncio.sleep(0.2)
         if fleet.served > served:
-            served, lived = fleet.served, tick * 0.2
+            served, last_served = fleet.served, tick * 0.2
         if first is None and fleet.refused > refused:
             first = tick * 0.2
-    out = fleet.refused
+    refused_in_outage = fleet.refused
     fleet.store.faults.outage = False
     await asyncio.gather(*work)
     started = "none" if first is None else f"{first:.1f} s"
     return (
-        f"{load.name:11} {way:18} allowance {load.allowance}: first refusal {started}, "
-        f"last answer ended {lived:.1f} s into an outage of 20 s, "
-        f"refused in it {out}, overspend {fleet.overspend}"
+        f"{load.name:11} {strategy:18} allowance {load.allowance}: "
+        f"first refusal {started}, "
+        f"last answer ended {last_served:.1f} s into an outage of 20 s, "
+        f"refused in it {refused_in_outage}, overspend {fleet.overspend}"
     )
 
 
-WAYS = ("a write a request", "fixed shares", "escrow", "escrow, witnessed")
+STRATEGIES = ("a write a request", "fixed shares", "escrow", "escrow, witnessed")
 
 
 def main(seed: int = 7) -> None:
-    """Print every table."""
+    """Print the tables for normal load, crashes and outages."""
     logging.set_verbosity(logging.FATAL)
     plain_logging.disable()
     print("load without faults")
     for load in (HOMARNIK, BLUE_MAHOE, STEADY):
-        for way in WAYS:
-            print(run_virtual(run_load(way, load, seed)), flush=True)
+        for strategy in STRATEGIES:
+            print(run_virtual(run_load(strategy, load, seed)), flush=True)
     print("allowance: doubt after a crash, life in an outage")
     for load in (HOMARNIK, BLUE_MAHOE):
         for allowance in (500, 2_000, 8_000, 32_000):
             sized = replace(load, allowance=allowance)
-            for way in WAYS[2:]:
-                print(run_virtual(run_crash(way, sized, seed)), flush=True)
-                print(run_virtual(run_outage(way, sized, seed)), flush=True)
+            for strategy in STRATEGIES[2:]:
+                print(run_virtual(run_crash(strategy, sized, seed)), flush=True)
+                print(run_virtual(run_outage(strategy, sized, seed)), flush=True)
 
 
 if __name__ == "__main__":
--- a/bench/callers.py
+++ b/bench/callers.py
@@ -1,7 +1,7 @@
-"""Drive streams at one or more addresses and print what was received, as JSON.
+"""Send streaming requests to one or more addresses and print the results as JSON.
 
-A process of its own, started by `bench.overhead` as often as it takes to be
-faster than what it measures.
+`bench.overhead` starts several such processes so that the load generator is
+faster than the router that it measures.
 """
 
 import asyncio
@@ -21,16 +21,16 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """What one process of callers shall do.
+    """The load that one process of callers generates.
 
     Parameters
     ----------
     streams
-        Requests under way at once; 0 for an open loop.
+        Number of concurrent requests (closed loop); 0 for an open loop.
     rate
-        Requests a second of an open loop.
+        Requests per second of an open loop.
     seconds
-        How long new requests are begun.
+        Duration in which new requests are started.
     """
 
     addresses: tuple[str, ...]
@@ -45,7 +45,7 @@
 
 @dataclass
 class Received:
-    """What callers received; times in milliseconds."""
+    """Results of the callers; `first` holds times to first token in milliseconds."""
 
     requests: int = 0
     failed: int = 0
@@ -55,25 +55,25 @@
 
 
 def pick_percentile(values: list[float], share: float) -> float:
-    """Return the least value that a share of the values doesn't exceed.
+    """Return the smallest value that a given share of the values do not exceed.
 
     Examples
     --------
     >>> pick_percentile([3.0, 1.0, 2.0, 4.0], 0.5)
     2.0
     """
-    ranked = sorted(values)
-    return ranked[max(0, math.ceil(share * len(ranked)) - 1)]
+    ordered = sorted(values)
+    return ordered[max(0, math.ceil(share * len(ordered)) - 1)]
 
 
 class Callers:
-    """Callers that share a process."""
+    """The callers of one process, which share an HTTP client."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
         self.received = Received()
         self._http = HttpClient()
-        self._turns = itertools.cycle([Address.parse(a) for a in plan.addresses])
+        self._addresses = itertools.cycle([Address.parse(a) for a in plan.addresses])
         body = {
             "model": plan.model,
             "messages": [{"role": "user", "content": plan.prompt}],
@@ -84,7 +84,7 @@
         self._headers = [JSON_TYPE, ("authorization", f"Bearer {plan.token}")]
 
     async def ask(self) -> None:
-        """Send one request and read its stream to the end."""
+        """Send one request, read its whole stream and count the result."""
         began = time.monotonic()
         try:
             await self._read(began)
@@ -97,7 +97,7 @@
         ended = False
         first = True
         async with self._http.exchange(
-            next(self._turns),
+            next(self._addresses),
             "POST",
             "/v1/chat/completions",
             self._headers,
@@ -124,19 +124,19 @@
             await self.ask()
 
     async def run(self) -> Received:
-        """Follow the plan to its end."""
+        """Generate the planned load and return the results."""
         began = time.monotonic()
         until = began + self.plan.seconds
         if self.plan.streams:
             tasks = [self._repeat(until) for _ in range(self.plan.streams)]
             await asyncio.gather(*tasks)
         else:
-            await self._run_open(began, until)
+            await self._run_open_loop(began, until)
         self.received.seconds = time.monotonic() - began
         self._http.close()
         return self.received
 
-    async def _run_open(self, began: float, until: float) -> None:
+    async def _run_open_loop(self, began: float, until: float) -> None:
         tasks = []
         for number in itertools.count():
             due = began + number / self.plan.rate
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,4 +1,4 @@
-"""Print and plot what each role costs by size; `make capacity` runs this."""
+"""Print and plot the cost of each router role by size (`make capacity`)."""
 
 import csv
 import pathlib
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class Series:
-    """One figure by size.
+    """A quantity that is measured at several sizes.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Slope:
-    """A straight line through measured points."""
+    """A fitted line: value = fixed + each x size."""
 
     each: float
     fixed: float
@@ -61,37 +61,43 @@
         return cls(each, mean_value - each * mean_size)
 
     def at(self, size: int) -> float:
-        """Return the line's value at a size."""
+        """Return the value of the line at a size."""
         return self.fixed + self.each * size
 
 
 SERIES = (
-    Series("heartbeats of all", "us", ROUTERS, slopes.hear_everyone, 2_200),
-    Series("heartbeat, both ends", "us", (1,), slopes.exchange_beat, 1),
-    Series("heartbeat, both ways", "B", (1,), slopes.weigh_beat, 1),
-    Series("roster memory", "B", ROUTERS, slopes.weigh_roster, 2_200),
+    Series("heartbeats of all", "us", ROUTERS, slopes.record_heartbeats, 2_200),
+    Series("heartbeat, both ends", "us", (1,), slopes.measure_heartbeat_exchange, 1),
+    Series("heartbeat, both ways", "B", (1,), slopes.measure_heartbeat_bytes, 1),
+    Series("roster memory", "B", ROUTERS, slopes.measure_roster_bytes, 2_200),
     Series("commit by accounts", "us", BUDGETS, ledgers.commit_by_accounts, 53_000),
     Series("commit by bills", "us", BILLS, ledgers.commit_by_bills, 36_000),
     Series(
         "ledger by accounts", "B", BUDGETS, ledgers.weigh_ledger_by_accounts, 53_000
     ),
-    Series("account by holders", "B", HOLDERS, ledgers.weigh_by_holders, 2_200),
-    Series("account by bills", "B", BILLS, ledgers.weigh_by_bills, 36_000),
+    Series(
+        "account by holders", "B", HOLDERS, ledgers.measure_account_by_holders, 2_200
+    ),
+    Series("account by bills", "B", BILLS, ledgers.measure_account_by_bills, 36_000),
     Series("gather a commit", "us", BUDGETS, ledgers.begin_commit, 53_000),
-    Series("purses memory", "B", BUDGETS, ledgers.weigh_escrow, 53_000),
+    Series("purses memory", "B", BUDGETS, ledgers.measure_escrow_bytes, 53_000),
     Series("change in force", "us", BUDGETS, slopes.publish_by_budgets, 53_000),
-    Series("declarations memory", "B", BUDGETS, slopes.weigh_catalogue, 53_000),
+    Series(
+        "declarations memory", "B", BUDGETS, slopes.measure_declarations_bytes, 53_000
+    ),
     Series("targets in force", "us", ENGINES, slopes.configure_targets, 11_000),
     Series("find candidates", "us", ENGINES, slopes.find_candidates, 11_000),
     Series("place a request", "us", ENGINES, slopes.place_work, 11_000),
     Series("take all reports", "us", ENGINES, slopes.take_reports, 11_000),
-    Series("metrics, one read", "B", (ORGANISATIONS,), slopes.weigh_metrics, 270),
+    Series(
+        "metrics, one read", "B", (ORGANISATIONS,), slopes.measure_metrics_bytes, 270
+    ),
     Series("HTTP call, both ends", "us", (1,), slopes.call_http, 1),
 )
 
 
 def plot(series: Series, points: list[tuple[int, float]], slope: Slope) -> None:
-    """Draw the points and the line through them."""
+    """Plot the measured points and the fitted line."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -100,9 +106,9 @@
     figure, axes = pyplot.subplots(figsize=(5, 3.5))
     sizes = [size for size, _ in points]
     axes.loglog(sizes, [value for _, value in points], "o", label="measured")
-    reach = sorted({*sizes, series.at})
-    values = [max(slope.at(size), 1e-3) for size in reach]
-    axes.loglog(reach, values, "-", label="straight line")
+    line_sizes = sorted({*sizes, series.at})
+    values = [max(slope.at(size), 1e-3) for size in line_sizes]
+    axes.loglog(line_sizes, values, "-", label="straight line")
     axes.set_xlabel("size")
     axes.set_ylabel(series.unit)
     axes.set_title(series.name)
@@ -113,7 +119,7 @@
 
 
 def run(output: pathlib.Path = OUTPUT) -> None:
-    """Measure every series, print the table and write the plots."""
+    """Measure every series; print the table, write the points and the plots."""
     output.mkdir(parents=True, exist_ok=True)
     print(f"{'figure':24} {'each':>12} {'fixed':>12} {'at':>7} {'is':>14}  measured")
     with (output / "points.csv").open("w") as file:
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,4 +1,4 @@
-"""Show both deployments' work served end to end; `make demo` runs this."""
+"""Serve the workloads of both example deployments end to end (`make demo`)."""
 
 import asyncio
 import signal
@@ -13,14 +13,14 @@
 
 _BURST = 40
 _TOKENS = 24
-_ENOUGH = 400_000
-_DRY = 2_000
-_OPTIONS = {"keep_addresses_ms": 1500.0, "lease_ms": 3000.0}
+_LARGE_TOP_UP = 400_000
+_SMALL_TOP_UP = 2_000
+_ROUTER_OPTIONS = {"keep_addresses_ms": 1500.0, "lease_ms": 3000.0}
 
 
 @dataclass
 class Report:
-    """What callers received, and what must hold."""
+    """Answers that callers received, and results of the invariant checks."""
 
     answers: dict[tuple[str, str], Counter[str]] = field(
         default_factory=lambda: defaultdict(Counter)
@@ -31,16 +31,16 @@
     billed: Counter[str] = field(default_factory=Counter)
 
     def check(self, invariant: str, held: bool) -> None:
-        """Count a check of an invariant."""
+        """Count the result of one check of an invariant."""
         self.checks[invariant][held] += 1
 
     @property
-    def broken(self) -> int:
-        """Return how many checks failed."""
+    def failed_checks(self) -> int:
+        """Return the number of failed checks."""
         return sum(counts[False] for counts in self.checks.values())
 
     def show(self, usage: dict[str, dict[str, object]]) -> None:
-        """Print everything."""
+        """Print the answers, the usage of the budgets and the invariants."""
         print("\nwhat callers received")
         for (organisation, kind), counts in sorted(self.answers.items()):
             row = ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
@@ -59,10 +59,10 @@
 
 
 class Demo:
-    """The course of the demonstration."""
+    """Runs the scenarios of the demo on one local fleet."""
 
     def __init__(self) -> None:
-        self.fleet = LocalFleet(router_options=_OPTIONS)
+        self.fleet = LocalFleet(router_options=_ROUTER_OPTIONS)
         self.report = Report()
 
     def _client(self, organisation: str) -> Client:
@@ -72,7 +72,7 @@
     async def ask(
         self, organisation: str, model: str, prompt: str, tokens: int = _TOKENS
     ) -> str:
-        """Ask a model and check that the answer is whole and the caller's own."""
+        """Ask a model and check that the answer is complete and the right one."""
         client = self._client(organisation)
         message = {"role": "user", "content": prompt}
         conversation = Conversation(model, [message], tokens, deadline=15_000.0)
@@ -138,12 +138,12 @@
             )
             for i in range(9)
         ]
-        name = await wait_until(self._find_busy)
+        name = await wait_until(self._find_busy_router)
         self.fleet.processes[name].send(signal.SIGKILL)
         await self.fleet.processes[name].wait()
         await asyncio.gather(*tasks)
 
-    async def _find_busy(self) -> str | None:
+    async def _find_busy_router(self) -> str | None:
         """Return a running router that has requests in flight."""
         for name in self.fleet.router_names:
             if self.fleet.processes[name].exit_code is not None:
@@ -160,14 +160,14 @@
             )
             for i in range(8)
         ]
-        name = await wait_until(self._find_busy)
+        name = await wait_until(self._find_busy_router)
         self.fleet.processes[name].send(signal.SIGTERM)
         await asyncio.gather(*tasks)
         code = await self.fleet.processes[name].wait()
         self.report.check("a planned stop cuts nothing off, exit 0", code == 0)
 
     async def audit(self) -> dict[str, dict[str, object]]:
-        """Check the money once everything is quiet."""
+        """Check the budgets and bills after all requests have ended."""
         usage = await self.fleet.usage()
         for row in usage.values():
             self.report.check("no budget overspent", row["spent"] <= row["total"])
@@ -179,32 +179,37 @@
         return usage
 
     async def run(self) -> int:
-        """Run every act; return the exit code."""
+        """Run every scenario; return 1 if a check failed, else 0."""
         began = time.monotonic()
         try:
             await self.fleet.start()
             summary = await self.fleet.apply()
             self.report.check("declarations accepted everywhere", summary["accepted"])
-            await self.fleet.top_up("kosice", _ENOUGH, "invoice-1")
-            await self.fleet.top_up("order-desk", _ENOUGH, "invoice-2")
-            await self.fleet.top_up("zilina", _DRY, "invoice-3")
-            for act in (
+            await self.fleet.top_up("kosice", _LARGE_TOP_UP, "invoice-1")
+            await self.fleet.top_up("order-desk", _LARGE_TOP_UP, "invoice-2")
+            await self.fleet.top_up("zilina", _SMALL_TOP_UP, "invoice-3")
+            for scenario in (
                 self.burst,
                 self.order_twice,
                 self.run_dry,
                 self.kill_in_stream,
                 self.drain_in_stream,
             ):
-                print(f"{time.monotonic() - began:5.1f} s  {act.__doc__}", flush=True)
-                await act()
+                print(
+                    f"{time.monotonic() - began:5.1f} s  {scenario.__doc__}", flush=True
+                )
+                await scenario()
             self.report.show(await self.audit())
         except Exception:
             print(self.fleet.read_logs())
             raise
         finally:
             self.fleet.stop()
-        print(f"\n{time.monotonic() - began:.1f} s, broken checks {self.report.broken}")
-        return 1 if self.report.broken else 0
+        print(
+            f"\n{time.monotonic() - began:.1f} s, "
+            f"broken checks {self.report.failed_checks}"
+        )
+        return 1 if self.report.failed_checks else 0
 
 
 if __name__ == "__main__":
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,4 +1,4 @@
-"""Run a whole fleet as processes on loopback, for the demo, benches and tests."""
+"""Run a fleet of processes on the loopback interface for demo, benches and tests."""
 
 import asyncio
 import hashlib
@@ -24,44 +24,44 @@
 EXAMPLES = ROOT / "examples"
 OPERATOR_TOKEN = "operator-token"
 _START_TIMEOUT_S = 20.0
-_LAST_LINES = 60
-_POLL_S = 0.02
+_LOG_TAIL_LINES = 60
+_POLL_INTERVAL_S = 0.02
 
 
 _PORTS = range(12_000, 32_000)
-"""Below the ports that the system gives to outgoing connections: one of those may
-be taken between the look here and the start of the process that shall listen."""
+"""Below the ephemeral ports of outgoing connections: the system may assign one of
+those between the check here and the start of the process that will listen."""
 _RNG = random.SystemRandom()
-_TAKEN: set[int] = set()
+_ASSIGNED_PORTS: set[int] = set()
 
 
 def take_free_port() -> int:
-    """Return a port that nobody listens on now; never the same one twice.
+    """Return a port without a listener, and never the same one twice.
 
-    A port that was returned is free until its process listens on it, half a
-    second later.  Drawn again in that time it would go to two processes of one
-    fleet, the second of which would end at once: address already in use.
+    A returned port stays unbound for about half a second until its process
+    listens on it.  If the same port were drawn again in that time, two processes
+    of one fleet would get it and the second would exit: address already in use.
     """
     while True:
         port = _RNG.choice(_PORTS)
-        if port in _TAKEN:
+        if port in _ASSIGNED_PORTS:
             continue
-        with socket.socket() as taken:
+        with socket.socket() as probe:
             try:
-                taken.bind(("127.0.0.1", port))
+                probe.bind(("127.0.0.1", port))
             except OSError:
                 continue
-            _TAKEN.add(port)
+            _ASSIGNED_PORTS.add(port)
             return port
 
 
 def make_address() -> Address:
-    """Return a free loopback address."""
+    """Return a loopback address with a free port."""
     return Address("127.0.0.1", take_free_port())
 
 
 async def wait_until(condition: Callable[[], Any], timeout: float = 20.0) -> Any:
-    """Wait until a condition, plain or a coroutine, is true; return its value."""
+    """Poll a function or coroutine function until its value is true; return it."""
     until = time.monotonic() + timeout
     while True:
         value = condition()
@@ -70,12 +70,12 @@
         if value:
             return value
         if time.monotonic() > until:
-            raise TimeoutError(f"waited {timeout} s in vain for {condition}")
-        await asyncio.sleep(_POLL_S)
+            raise TimeoutError(f"waited {timeout} s, condition not met: {condition}")
+        await asyncio.sleep(_POLL_INTERVAL_S)
 
 
 class Process:
-    """One process of the fleet, ended by its id and no other way."""
+    """One process of the fleet; signals go to its process id only."""
 
     def __init__(self, name: str, arguments: list[str], log: pathlib.Path) -> None:
         self.name = name
@@ -88,26 +88,26 @@
 
     @property
     def pid(self) -> int:
-        """Return the process's id."""
+        """Return the process id."""
         return self._process.pid
 
     def send(self, number: signal.Signals) -> None:
-        """Send the process a signal, if it runs."""
+        """Send a signal to the process if it is running."""
         if self._process.poll() is None:
             self._process.send_signal(number)
 
     @property
     def exit_code(self) -> int | None:
-        """Return the exit code, None while it runs."""
+        """Return the exit code, or None while the process is running."""
         return self._process.poll()
 
     async def wait(self, timeout: float = 40.0) -> int:
-        """Wait for the process to end; return its exit code."""
+        """Wait for the process to exit; return its exit code."""
         await wait_until(lambda: self._process.poll() is not None, timeout)
         return int(self._process.returncode)
 
     def end(self) -> None:
-        """End the process now."""
+        """Kill the process, also when it is paused, and wait for its exit."""
         if self._process.poll() is None:
             self._process.send_signal(signal.SIGCONT)
             self._process.kill()
@@ -115,18 +115,18 @@
 
 
 class LocalFleet:
-    """Stand-ins and routers on free loopback ports.
+    """Stand-ins and routers as processes on free loopback ports.
 
     Parameters
     ----------
     domains
-        Failure domain of each router; one router each.
+        Failure domains of the routers; the fleet has one router per entry.
     engine_options
-        Further flags for every engine stand-in.
+        Additional command-line flags for every engine stand-in.
     router_options
-        Further settings for every router.
+        Additional settings for every router.
     examples
-        Directory of the declarations; each engine gets a free address.
+        Directory of the declarations, which are copied with free addresses.
     """
 
     def __init__(
@@ -152,11 +152,11 @@
 
     @property
     def router_names(self) -> list[str]:
-        """Return the routers' names."""
+        """Return the names of the routers: r1, r2, …."""
         return [f"r{index + 1}" for index in range(len(self._domains))]
 
     async def start(self) -> None:
-        """Start everything, apply the examples and wait until all is ready."""
+        """Start all processes and wait until every router is ready."""
         self.start_process(
             "platform", ["standin", "platform", "--listen", str(self.platform)]
         )
@@ -181,7 +181,7 @@
 
     @property
     def declarations(self) -> pathlib.Path:
-        """Return the directory of the declarations with this fleet's addresses."""
+        """Return the directory of declarations with the addresses of this fleet."""
         return self.directory / "declarations"
 
     def _start_target(self, engine: dict[str, Any], target: str) -> None:
@@ -193,20 +193,20 @@
         self.start_target(engine["name"], "engine" if target == "model" else "service")
 
     def start_target(self, name: str, kind: str) -> None:
-        """Start a target's process at its declared address."""
+        """Start the stand-in process of a target at its address."""
         arguments = ["standin", kind, "--listen", str(self.addresses[name])]
         if kind == "engine":
             arguments += self._engine_options
         self.start_process(name, arguments)
 
     def start_process(self, name: str, arguments: list[str]) -> Process:
-        """Start a process of the fleet under a name."""
+        """Start a process and register it under a name."""
         log = self.directory / f"{name}.log"
         self.processes[name] = Process(name, arguments, log)
         return self.processes[name]
 
     def start_router(self, index: int) -> str:
-        """Start a router; its addresses stay the same when it starts again."""
+        """Start or restart a router; a restart reuses its addresses."""
         name = self.router_names[index]
         if name not in self.addresses:
             self.addresses[name] = make_address()
@@ -239,10 +239,10 @@
         await wait_until(answers, _START_TIMEOUT_S)
 
     def start_relay(self, name: str, target: Address) -> Address:
-        """Start a faulty network before an address; return where it listens.
+        """Start a relay that injects network faults; return its listening address.
 
-        Its faults are set with `set_faults` at ``controls[name]``.  Targets
-        named in `relayed` get one each, named ``net-`` and the target's name.
+        `set_faults` at ``controls[name]`` sets the faults.  Each target listed in
+        `relayed` gets a relay of its own, named ``net-`` plus the target's name.
         """
         listen, control = make_address(), make_address()
         self.controls[name] = control
@@ -259,19 +259,19 @@
         return listen
 
     async def wait_ready(self, name: str) -> None:
-        """Wait until a router is ready to serve.
+        """Wait until the readiness probe of a router succeeds.
 
         Raises
         ------
         TimeoutError
-            With the last lines of its log, which say what it waits for.
+            If it is not ready in time, with the last lines of its log.
         """
         try:
             await wait_until(lambda: self._is_ready(name), _START_TIMEOUT_S)
         except TimeoutError as error:
             process = self.processes[name]
-            lines = process.log.read_text().splitlines()[-_LAST_LINES:]
-            state = f"{name} isn't ready, exit code {process.exit_code}"
+            lines = process.log.read_text().splitlines()[-_LOG_TAIL_LINES:]
+            state = f"{name} is not ready, exit code {process.exit_code}"
             raise TimeoutError("\n".join([state, *lines])) from error
 
     async def _is_ready(self, name: str) -> bool:
@@ -284,7 +284,7 @@
             return False
 
     async def run_operator(self, *arguments: str) -> tuple[int, str]:
-        """Run an operator verb; return its exit code and what it printed."""
+        """Run an operator command; return its exit code and output."""
         command = [sys.executable, "-m", "anvilshift.operator.main", *arguments]
         process = await asyncio.create_subprocess_exec(
             *command, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, cwd=ROOT
@@ -293,7 +293,7 @@
         return process.returncode or 0, output.decode()
 
     async def apply(self, directory: pathlib.Path | None = None) -> dict[str, Any]:
-        """Apply declarations with the operator command; return what it said."""
+        """Apply declarations with the operator command; return its summary."""
         _, output = await self.run_operator(
             "apply",
             str(directory or self.declarations),
@@ -304,7 +304,7 @@
         return summary
 
     async def top_up(self, budget: str, tokens: int, identity: str) -> None:
-        """Top a budget up with the operator command."""
+        """Add tokens to a budget with the operator command."""
         code, output = await self.run_operator(
             "topup",
             budget,
@@ -316,40 +316,42 @@
             raise RuntimeError(output)
 
     async def usage(self) -> dict[str, Any]:
-        """Return each budget's figures from the operator command."""
+        """Return the usage of each budget as the operator command prints it."""
         _, output = await self.run_operator(
             "usage", f"--platform={self.platform}", "--output=json"
         )
         return {row["budget"]: row for row in json.loads(output)}
 
     async def set_faults(self, address: Address, **faults: Any) -> None:
-        """Switch a stand-in's faults."""
+        """Set the faults of a stand-in."""
         body = dump_json(faults)
         await self.http.call(address, "POST", "/control/faults", [JSON_TYPE], body)
 
     async def audit(self, name: str) -> dict[str, Any]:
-        """Return what a target says that it ran."""
+        """Return the audit record of the requests that a target executed."""
         answer = await self.http.call(self.addresses[name], "GET", "/audit")
         value: dict[str, Any] = json.loads(answer.body)
         return value
 
     async def status(self, name: str) -> dict[str, Any]:
-        """Return a router's own account of its state."""
+        """Return the status that a router reports to operators."""
         headers = [("authorization", f"Bearer {OPERATOR_TOKEN}")]
         answer = await self.http.call(self.operators[name], "GET", "/status", headers)
         value: dict[str, Any] = json.loads(answer.body)
         return value
 
     def stop(self) -> None:
-        """End every process that this fleet started."""
+        """Kill every process that this fleet started."""
         for process in self.processes.values():
             process.end()
         self.http.close()
 
     def read_logs(self) -> str:
-        """Return the last lines of every log, for a failure's report."""
+        """Return the last lines of every log, to explain a failure."""
         parts = []
         for name, process in self.processes.items():
-            lines = process.log.read_text(errors="replace").splitlines()[-_LAST_LINES:]
+            lines = process.log.read_text(errors="replace").splitlines()[
+                -_LOG_TAIL_LINES:
+            ]
             parts.append(f"--- {name}\n" + "\n".join(lines))
         return "\n".join(parts)
--- a/bench/gauges.py
+++ b/bench/gauges.py
@@ -1,4 +1,4 @@
-"""Measure the processor time and the memory of a piece of work in this process."""
+"""Measure processor time and memory of a function in this process."""
 
 import time
 import tracemalloc
@@ -11,7 +11,7 @@
 
 
 def time_micros(work: Callable[[], Any]) -> float:
-    """Return the processor time of one call in microseconds."""
+    """Return the processor time of one call in microseconds, the best of three."""
     best = float("inf")
     for _ in range(_REPEATS):
         began = time.process_time()
@@ -20,11 +20,11 @@
     return best * MICROS
 
 
-def weigh_bytes(make: Callable[[], Any]) -> float:
-    """Return the memory that a state holds, in bytes."""
+def measure_bytes(make_state: Callable[[], Any]) -> float:
+    """Return the allocated memory of a newly built state, in bytes."""
     tracemalloc.start()
-    kept = make()
+    state = make_state()
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del state
     return float(size)
--- a/bench/inforce.py
+++ b/bench/inforce.py
@@ -1,8 +1,8 @@
-"""Measure how soon a change of configuration is in force at every router.
+"""Measure how long a configuration change takes to reach every router.
 
-`make inforce` runs it: five router processes, one declaration changed again
-and again, the time from the write until the last router has acknowledged it,
-and what that costs the platform.
+`make inforce` starts five router processes, changes one declaration repeatedly,
+measures the time from the write until the last router has acknowledged it, and
+counts the writes to the platform.
 """
 
 import asyncio
@@ -15,15 +15,15 @@
 from anvilshift.operator.platformside import wait_accepted
 from bench.fleet import LocalFleet
 
-_CHANGES = 40
-_BURST = 40
+_SINGLE_CHANGES = 40
+_BURST_CHANGES = 40
 _BOUND: float = 4 * SECOND
-"""The users' bound."""
+"""The longest delay that the users' requirements allow."""
 _DOMAINS = ("poprad", "zvolen", "martin", "kezmarok", "levoca")
 
 
-class InForce:
-    """The course of the measurement."""
+class ConfigurationDelay:
+    """Measures the delays of single changes and of a burst on one fleet."""
 
     def __init__(self) -> None:
         self.fleet = LocalFleet(domains=_DOMAINS)
@@ -31,7 +31,7 @@
         self.clock = MonotonicClock()
 
     async def count_calls(self) -> dict[str, int]:
-        """Return the platform's counts of calls by verb."""
+        """Return the number of platform calls by verb."""
         answer = await self.fleet.http.call(
             self.fleet.platform, "POST", "/control/calls", body=b"{}"
         )
@@ -39,38 +39,38 @@
         return counts
 
     async def change(self, grant: int) -> int:
-        """Change a budget; return the revision."""
+        """Write a budget with a new grant; return the revision."""
         body = {"kind": "Budget", "name": "measured", "grant": grant}
         stored = await update(self.store, "Budget", "measured", lambda _: body)
         return stored.version
 
-    async def accept(self, revision: int) -> None:
+    async def wait_until_accepted(self, revision: int) -> None:
         """Wait until every router has acknowledged a revision."""
         acceptance = await wait_accepted(self.store, self.clock, revision, 20 * SECOND)
         if not acceptance.accepted:
-            raise TimeoutError(f"waited in vain for {acceptance.waiting}")
+            raise TimeoutError(f"waited 20 s, not acknowledged by {acceptance.waiting}")
 
     async def measure_single(self) -> list[float]:
-        """Return the milliseconds that each of many changes took."""
+        """Return the sorted delays of single changes, in milliseconds."""
         spans = []
-        for grant in range(1, _CHANGES + 1):
+        for grant in range(1, _SINGLE_CHANGES + 1):
             began = self.clock.now()
-            await self.accept(await self.change(grant))
+            await self.wait_until_accepted(await self.change(grant))
             spans.append(self.clock.now() - began)
         return sorted(spans)
 
     async def measure_burst(self) -> tuple[float, int]:
-        """Return the span of a burst of changes, and the routers' writes in it."""
+        """Return the delay of a burst of changes and the routers' writes during it."""
         before = (await self.count_calls())["put"]
         began = self.clock.now()
-        for grant in range(_BURST):
+        for grant in range(_BURST_CHANGES):
             newest = await self.change(10_000 + grant)
-        await self.accept(newest)
+        await self.wait_until_accepted(newest)
         span = self.clock.now() - began
-        return span, (await self.count_calls())["put"] - before - _BURST
+        return span, (await self.count_calls())["put"] - before - _BURST_CHANGES
 
     async def run(self) -> int:
-        """Measure and print; return the exit code."""
+        """Print the measurements; return 1 if a single change exceeds the bound."""
         began = time.monotonic()
         try:
             await self.fleet.start()
@@ -78,15 +78,20 @@
             burst, writes = await self.measure_burst()
         finally:
             self.fleet.stop()
-        middle, high, worst = spans[len(spans) // 2], spans[-3], spans[-1]
-        print(f"{len(_DOMAINS)} routers, {_CHANGES} single changes, share of the bound")
-        print(f"  p50 {middle / _BOUND:.3f}  p95 {high / _BOUND:.3f}", end="")
+        median, p95, worst = spans[len(spans) // 2], spans[-3], spans[-1]
+        print(
+            f"{len(_DOMAINS)} routers, {_SINGLE_CHANGES} single changes, "
+            "share of the bound"
+        )
+        print(f"  p50 {median / _BOUND:.3f}  p95 {p95 / _BOUND:.3f}", end="")
         print(f"  most {worst / _BOUND:.3f}")
-        print(f"{_BURST} changes at once: all in force after {burst / _BOUND:.3f}")
-        print(f"  routers' own writes for each change: {writes / _BURST:.2f}")
+        print(
+            f"{_BURST_CHANGES} changes at once: all in force after {burst / _BOUND:.3f}"
+        )
+        print(f"  routers' own writes for each change: {writes / _BURST_CHANGES:.2f}")
         print(f"{time.monotonic() - began:.1f} s")
         return 0 if worst < _BOUND else 1
 
 
 if __name__ == "__main__":
-    sys.exit(asyncio.run(InForce().run()))
+    sys.exit(asyncio.run(ConfigurationDelay().run()))
--- a/bench/ledgers.py
+++ b/bench/ledgers.py
@@ -1,17 +1,17 @@
-"""What ledgers and purses cost by size, measured in one process."""
+"""Measure the cost of ledgers and purses by size, in one process."""
 
 from anvilshift.core.escrow import Escrow
 from anvilshift.core.ledger import Bill, Commit, Draw, Grant, Ledger, Outcome
 from anvilshift.objects.records import decode, encode
 from anvilshift.wire.jsons import dump_json
-from bench.gauges import time_micros, weigh_bytes
+from bench.gauges import measure_bytes, time_micros
 
-_BILLS_A_COMMIT = 4
-_BILLS_AT_ONCE = 100
+_BILLS_PER_COMMIT = 4
+_BILLS_PER_SETUP_COMMIT = 100
 
 
 def make_ledger(accounts: int, holders: int = 1, bills: int = 0) -> Ledger:
-    """Return a ledger whose accounts each have some grants and kept bills."""
+    """Return a ledger whose accounts each have some grants and stored bills."""
     parts = {}
     names = {}
     for index in range(accounts):
@@ -19,8 +19,8 @@
         for holder in range(holders):
             draw = Commit(_holder(holder), (), {"budget": Draw(20_000, 2_000)})
             one = one.apply(draw)[0]
-        for begin in range(0, bills, _BILLS_AT_ONCE):
-            group = range(begin, min(bills, begin + _BILLS_AT_ONCE))
+        for begin in range(0, bills, _BILLS_PER_SETUP_COMMIT):
+            group = range(begin, min(bills, begin + _BILLS_PER_SETUP_COMMIT))
             made = tuple(("budget", _make_bill(f"{index:016x}{n:016x}")) for n in group)
             one = one.apply(Commit(_holder(0), made))[0]
         parts[f"budget-{index:05}"] = one.account("budget")
@@ -38,40 +38,40 @@
 
 def _commit_once(ledger: Ledger) -> None:
     account = next(iter(ledger.accounts))
-    bills = tuple((account, _make_bill(f"new-{n}")) for n in range(_BILLS_A_COMMIT))
+    bills = tuple((account, _make_bill(f"new-{n}")) for n in range(_BILLS_PER_COMMIT))
     read = decode(Ledger, encode(ledger))
     dump_json(encode(read.apply(Commit(_holder(0), bills))[0]))
 
 
 def commit_by_accounts(size: int) -> float:
-    """Return microseconds of a group commit, by accounts in the one object."""
+    """Return microseconds of a group commit, by accounts in the ledger object."""
     ledger = make_ledger(size)
     return time_micros(lambda: _commit_once(ledger))
 
 
 def commit_by_bills(size: int) -> float:
-    """Return microseconds of a group commit, by bills kept in one account."""
+    """Return microseconds of a group commit, by bills stored in one account."""
     ledger = make_ledger(1, bills=size)
     return time_micros(lambda: _commit_once(ledger))
 
 
 def weigh_by_accounts(size: int) -> float:
-    """Return the bytes of the ledger's object, by accounts."""
+    """Return the encoded size of the ledger object in bytes, by accounts."""
     return float(len(dump_json(encode(make_ledger(size)))))
 
 
-def weigh_by_holders(size: int) -> float:
-    """Return the bytes of one account, by routers that hold a grant of it."""
+def measure_account_by_holders(size: int) -> float:
+    """Return the encoded size of one account in bytes, by routers with a grant."""
     return float(len(dump_json(encode(make_ledger(1, holders=size)))))
 
 
-def weigh_by_bills(size: int) -> float:
-    """Return the bytes of one account, by bills that it keeps."""
+def measure_account_by_bills(size: int) -> float:
+    """Return the encoded size of one account in bytes, by stored bills."""
     return float(len(dump_json(encode(make_ledger(1, bills=size)))))
 
 
 def make_escrow(size: int) -> Escrow:
-    """Return a holder with a purse of each of many budgets."""
+    """Return the escrow of a router that has a funded purse for each budget."""
     escrow = Escrow("router-0000-0123456789ab")
     for index in range(size):
         escrow.open(f"budget-{index:05}", 2_000, 20_000)
@@ -82,11 +82,11 @@
 
 
 def begin_commit(size: int) -> float:
-    """Return microseconds to gather a commit, by purses that a router holds."""
+    """Return microseconds to begin a commit, by purses that a router holds."""
     escrow = make_escrow(size)
     return time_micros(lambda: escrow.begin_commit())
 
 
-def weigh_escrow(size: int) -> float:
-    """Return the bytes of memory of a router's purses."""
-    return weigh_bytes(lambda: make_escrow(size))
+def measure_escrow_bytes(size: int) -> float:
+    """Return the memory of a router's purses in bytes."""
+    return measure_bytes(lambda: make_escrow(size))
--- a/bench/load/__init__.py
+++ b/bench/load/__init__.py
@@ -1,1 +1,1 @@
-"""Compare load policies on seeded traces in virtual time; `make load` runs it."""
+"""Compare dispatch policies on seeded traces in virtual time (`make load`)."""
--- a/bench/load/__main__.py
+++ b/bench/load/__main__.py
@@ -1,4 +1,4 @@
-"""Run every trace against every policy and write the report."""
+"""Run every trace with every dispatch policy and write the report."""
 
 import concurrent.futures
 import json
@@ -9,13 +9,13 @@
 import fire
 
 from bench.load.baselines import POLICIES
-from bench.load.measures import Figures, measure
+from bench.load.measures import Metrics, measure
 from bench.load.report import Runs, plot_trace, summarise, write_table
 from bench.load.runs import Run
 from bench.load.traces import TRACES
 
-_OUT = pathlib.Path("out/load")
-_SHOWN = (
+_OUTPUT = pathlib.Path("out/load")
+_PRINTED_METRICS = (
     "in time",
     "urgent in time",
     "worst organisation",
@@ -32,8 +32,8 @@
 Task = tuple[str, str, int]
 
 
-def run_one(task: Task) -> tuple[Task, Figures]:
-    """Run one trace against one policy."""
+def run_one(task: Task) -> tuple[Task, Metrics]:
+    """Run one trace with one policy and return its metrics."""
     trace, policy, seed = task
     return task, measure(Run(TRACES[trace](seed), POLICIES[policy], seed).run())
 
@@ -41,16 +41,16 @@
 def run_all(
     seeds: int = 10, workers: int = 4, traces: str = "", policies: str = ""
 ) -> None:
-    """Compare the policies.
+    """Run the chosen traces and policies; print and write the comparison.
 
     Parameters
     ----------
     seeds
-        Runs of each trace and policy.
+        Number of runs of each pair of trace and policy, seeded 0, 1, ….
     workers
-        Processes that run at once.
+        Number of worker processes.
     traces, policies
-        Names with commas between; all when empty.
+        Comma-separated names; an empty string selects all.
     """
     began = time.monotonic()
     chosen = traces.split(",") if traces else list(TRACES)
@@ -62,24 +62,24 @@
             runs[trace, policy].append(figures)
     _show(runs)
     _write(runs, seeds)
-    print(f"report: {_OUT.resolve()}/report.md, {time.monotonic() - began:.0f} s")
+    print(f"report: {_OUTPUT.resolve()}/report.md, {time.monotonic() - began:.0f} s")
 
 
 def _show(runs: Runs) -> None:
-    print(f"{'':34}" + "".join(f"{name[:17]:>18}" for name in _SHOWN))
+    print(f"{'':34}" + "".join(f"{name[:17]:>18}" for name in _PRINTED_METRICS))
     for (trace, policy), found in runs.items():
         summary = summarise(found)
-        cells = "".join(f"{summary[name][0]:18.3f}" for name in _SHOWN)
+        cells = "".join(f"{summary[name][0]:18.3f}" for name in _PRINTED_METRICS)
         print(f"{trace:17}{policy:17}{cells}")
 
 
 def _write(runs: Runs, seeds: int) -> None:
-    _OUT.mkdir(parents=True, exist_ok=True)
-    (_OUT / "report.md").write_text(write_table(runs, seeds))
+    _OUTPUT.mkdir(parents=True, exist_ok=True)
+    (_OUTPUT / "report.md").write_text(write_table(runs, seeds))
     raw = {f"{trace} / {policy}": found for (trace, policy), found in runs.items()}
-    (_OUT / "runs.json").write_text(json.dumps(raw))
+    (_OUTPUT / "runs.json").write_text(json.dumps(raw))
     for trace in dict.fromkeys(name for name, _ in runs):
-        plot_trace(runs, trace, _OUT)
+        plot_trace(runs, trace, _OUTPUT)
 
 
 if __name__ == "__main__":
--- a/bench/load/baselines.py
+++ b/bench/load/baselines.py
@@ -1,4 +1,4 @@
-"""Plain ways to route, to compare with: no queue, no limit, no refusal."""
+"""Baseline policies without a queue, without limits and without load shedding."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -19,54 +19,54 @@
     Target,
     Work,
 )
-from bench.load.thin import ThinDispatcher
+from bench.load.thin import FifoDispatcher
 
 
 class Policy(Protocol):
-    """What a run needs of a dispatcher."""
+    """The interface that a simulation run requires of a dispatcher."""
 
     def configure(self, targets: Iterable[Target], now: Millis) -> Actions:
-        """Take in the targets."""
+        """Replace the set of targets."""
 
     def set_routers(self, routers: int) -> None:
-        """Take in how many routers share the targets."""
+        """Set the number of routers that share the targets."""
 
     def arrive(self, work: Work, now: Millis) -> Actions:
-        """Take in a request."""
+        """Handle the arrival of a request."""
 
     def first_token(self, identity: str, now: Millis) -> Actions:
-        """Take in that an answer has begun."""
+        """Handle the first token of an answer."""
 
     def done(self, identity: str, tokens: int, now: Millis) -> Actions:
-        """Take in that an answer is whole."""
+        """Handle the completion of an answer."""
 
     def failed(self, identity: str, failure: Failure, now: Millis) -> Actions:
-        """Take in that an attempt failed."""
+        """Handle a failed attempt."""
 
     def cancel(self, identity: str, now: Millis) -> Actions:
-        """Take in that the caller left."""
+        """Handle the departure of a caller."""
 
     def load_report(self, report: LoadReport, now: Millis) -> Actions:
-        """Take in a load report."""
+        """Handle the load report of a target."""
 
     def cache_event(self, event: CacheEvent, now: Millis) -> Actions:
-        """Take in a cache event."""
+        """Handle a change of a target's prefix cache."""
 
     def prepare(self, ask: Ask, now: Millis) -> bool:
-        """Hold a content back that another router would send elsewhere."""
+        """Return whether this router holds a content back for another router."""
 
     def settle(self, ask: Ask, agreed: bool, now: Millis) -> Actions:
-        """Take in whether a content goes to the target that was asked for."""
+        """Handle whether the routers agreed to send a content to the target."""
 
     def tick(self, now: Millis) -> Actions:
-        """Do what is due."""
+        """Perform the actions that are due."""
 
     def next_tick(self, now: Millis) -> Millis | None:
-        """Return when `tick` must be called."""
+        """Return the instant at which `tick` must be called, None if never."""
 
 
 class RoundRobin:
-    """Send each request to the next target as it comes."""
+    """Send each request to the next target in turn."""
 
     def __init__(self, settings: DispatchSettings, rng: random.Random) -> None:
         self._rng = rng
@@ -77,12 +77,12 @@
         self._load: dict[str, int] = {}
 
     def configure(self, targets: Iterable[Target], now: Millis) -> Actions:
-        """Take in the targets."""
+        """Replace the set of targets."""
         self._names = [target.name for target in targets]
         return []
 
     def set_routers(self, routers: int) -> None:
-        """Take in how many routers share the targets."""
+        """Set the number of routers that share the targets."""
 
     def choose(self) -> str:
         """Return the next target."""
@@ -90,7 +90,7 @@
         return self._names[self._next % len(self._names)]
 
     def arrive(self, work: Work, now: Millis) -> Actions:
-        """Take in a request."""
+        """Handle the arrival of a request."""
         return self._send(work, 1)
 
     def _send(self, work: Work, attempt: int) -> Actions:
@@ -99,24 +99,24 @@
         self._load[target] = self._load.get(target, 0) + 1
         return [Send(work.identity, target, attempt, work.candidates[target])]
 
-    def _stop(self, identity: str) -> tuple[Work, str, int] | None:
+    def _remove_running(self, identity: str) -> tuple[Work, str, int] | None:
         found = self._running.pop(identity, None)
         if found is not None:
             self._load[found[1]] -= 1
         return found
 
     def first_token(self, identity: str, now: Millis) -> Actions:
-        """Take in that an answer has begun."""
+        """Handle the first token of an answer."""
         return []
 
     def done(self, identity: str, tokens: int, now: Millis) -> Actions:
-        """Take in that an answer is whole."""
-        self._stop(identity)
+        """Handle the completion of an answer."""
+        self._remove_running(identity)
         return []
 
     def failed(self, identity: str, failure: Failure, now: Millis) -> Actions:
-        """Take in that an attempt failed."""
-        found = self._stop(identity)
+        """Handle a failed attempt."""
+        found = self._remove_running(identity)
         if found is None:
             return []
         work, _, attempt = found
@@ -125,58 +125,58 @@
         return self._send(work, attempt + 1)
 
     def cancel(self, identity: str, now: Millis) -> Actions:
-        """Take in that the caller left."""
-        self._stop(identity)
+        """Handle the departure of a caller."""
+        self._remove_running(identity)
         return []
 
     def load_report(self, report: LoadReport, now: Millis) -> Actions:
-        """Take in a load report."""
+        """Handle the load report of a target."""
         return []
 
     def cache_event(self, event: CacheEvent, now: Millis) -> Actions:
-        """Take in a cache event."""
+        """Handle a change of a target's prefix cache."""
         return []
 
     def prepare(self, ask: Ask, now: Millis) -> bool:
-        """Hold nothing back."""
+        """Return False: this policy holds no content back."""
         return False
 
     def settle(self, ask: Ask, agreed: bool, now: Millis) -> Actions:
-        """Take nothing in: this policy asks nobody."""
+        """Ignore the result: this policy never asks other routers."""
         return []
 
     def tick(self, now: Millis) -> Actions:
-        """Do what is due."""
+        """Perform the actions that are due."""
         return []
 
     def next_tick(self, now: Millis) -> Millis | None:
-        """Return when `tick` must be called."""
+        """Return the instant at which `tick` must be called, None if never."""
         return None
 
 
 class LeastRequests(RoundRobin):
-    """Send each request to the target with the fewest own ones in flight."""
+    """Send each request to the target with the fewest of this router's requests."""
 
     def choose(self) -> str:
-        """Return the least loaded target."""
+        """Return the target with the fewest requests in flight; ties are random."""
         key = lambda name: (self._load.get(name, 0), self._rng.random())  # noqa: E731
         return min(self._names, key=key)
 
 
 class LeastReported(RoundRobin):
-    """Send each request to the target that reported the least load."""
+    """Send each request to the target whose last load report is the lowest."""
 
     def __init__(self, settings: DispatchSettings, rng: random.Random) -> None:
         super().__init__(settings, rng)
         self._reported: dict[str, int] = {}
 
     def load_report(self, report: LoadReport, now: Millis) -> Actions:
-        """Take in a load report."""
+        """Handle the load report of a target."""
         self._reported[report.target] = report.running + report.waiting
         return []
 
     def choose(self) -> str:
-        """Return the target with the least reported load."""
+        """Return the target with the lowest reported load; ties go by name."""
         return min(self._names, key=lambda n: (self._reported.get(n, 0), n))
 
 
@@ -184,6 +184,6 @@
     "round robin": RoundRobin,
     "least requests": LeastRequests,
     "least reported": LeastReported,
-    "thin": ThinDispatcher,
+    "thin": FifoDispatcher,
     "anvilshift": Dispatcher,
 }
--- a/bench/load/cost.py
+++ b/bench/load/cost.py
@@ -1,4 +1,4 @@
-"""Measure what one event costs the dispatcher: `python -m bench.load.cost`."""
+"""Measure the dispatcher's processor time per event (`python -m bench.load.cost`)."""
 
 import itertools
 import math
@@ -14,12 +14,12 @@
 _ENGINES = (10, 100, 1_000)
 _ORGANISATIONS = (10, 100, 270)
 _SLOTS = 8
-_WAITING = 500
+_QUEUED_REQUESTS = 500
 _REPEATS = 5
 
 
-class _Load:
-    """A dispatcher kept full: each end of an answer is followed by an arrival."""
+class _DispatcherLoad:
+    """A dispatcher at full load: a new request replaces each completed one."""
 
     def __init__(self, engines: int, organisations: int) -> None:
         self._rng = random.Random(0)
@@ -30,14 +30,14 @@
         self._running: list[str] = []
         self.now = 0.0
         self.events = 0
-        settings = DispatchSettings(queue_length=10 * _WAITING)
+        settings = DispatchSettings(queue_length=10 * _QUEUED_REQUESTS)
         self._dispatcher = Dispatcher(settings, random.Random(1))
         targets = [Target(name, "north", _SLOTS) for name in self._names]
         self._dispatcher.configure(targets, 0.0)
-        for _ in range(engines * _SLOTS + _WAITING):
+        for _ in range(engines * _SLOTS + _QUEUED_REQUESTS):
             self._arrive()
 
-    def _take(self, actions: list[object]) -> None:
+    def _record_actions(self, actions: list[object]) -> None:
         self.events += 1
         self._running += [a.identity for a in actions if isinstance(a, Send)]
 
@@ -52,28 +52,28 @@
             self.now + self._rng.uniform(50_000.0, 60_000.0),
             prefixes=(f"p{self._rng.randrange(1_000)}",),
         )
-        self._take(self._dispatcher.arrive(work, self.now))
+        self._record_actions(self._dispatcher.arrive(work, self.now))
 
     def step(self) -> None:
-        """Give one of each event."""
+        """Pass one event of each kind to the dispatcher."""
         self.now += 0.1
         place = self._rng.randrange(len(self._running))
         last = self._running.pop()
         identity = last
         if place < len(self._running):
             identity, self._running[place] = self._running[place], last
-        self._take(self._dispatcher.first_token(identity, self.now))
-        self._take(self._dispatcher.done(identity, 60, self.now + 0.05))
+        self._record_actions(self._dispatcher.first_token(identity, self.now))
+        self._record_actions(self._dispatcher.done(identity, 60, self.now + 0.05))
         self._arrive()
         name = self._rng.choice(self._names)
         report = LoadReport(name, _SLOTS, 0, self.now)
-        self._take(self._dispatcher.load_report(report, self.now))
-        self._take(self._dispatcher.tick(self.now))
+        self._record_actions(self._dispatcher.load_report(report, self.now))
+        self._record_actions(self._dispatcher.tick(self.now))
 
 
 def measure_cost(engines: int, organisations: int, steps: int) -> float:
-    """Return microseconds of processor time an event."""
-    load = _Load(engines, organisations)
+    """Return the median processor time per event, in microseconds."""
+    load = _DispatcherLoad(engines, organisations)
     for _ in range(steps // 4):
         load.step()
     costs = []
@@ -87,7 +87,7 @@
 
 
 def run(steps: int = 2_000) -> None:
-    """Print the cost of an event and its slopes."""
+    """Print the cost per event and how it grows with engines and organisations."""
     costs = {
         (e, o): measure_cost(e, o, steps) for e in _ENGINES for o in _ORGANISATIONS
     }
--- a/bench/load/measures.py
+++ b/bench/load/measures.py
@@ -1,4 +1,4 @@
-"""What callers got, as figures."""
+"""Metrics of a simulation run, as the callers experienced it."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
@@ -8,15 +8,15 @@
 from bench.load.runs import Outcome, Result
 from bench.load.traces import URGENT
 
-_RECOVERED = 0.95
-_BUCKET: Millis = 0.5 * SECOND
-_SETTLED: Millis = 3 * SECOND
+_RECOVERED_SHARE = 0.95
+_BUCKET_WIDTH: Millis = 0.5 * SECOND
+_DETECTION_TIME: Millis = 3 * SECOND
 
-Figures = dict[str, float]
+Metrics = dict[str, float]
 
 
 def percentile(values: Iterable[float], part: float) -> float:
-    """Return a percentile; nothing has the percentile 0.
+    """Return a percentile, 0 when there are no values.
 
     Examples
     --------
@@ -30,7 +30,7 @@
 
 
 def share(outcomes: Iterable[Outcome]) -> float:
-    """Return the share answered whole and in time."""
+    """Return the share of requests answered completely and in time."""
     found = list(outcomes)
     answered = sum(outcome.answered is not None for outcome in found)
     return answered / len(found) if found else 1.0
@@ -49,11 +49,11 @@
 
 
 def _measure_fairness(result: Result) -> float:
-    """Return Jain's index of tokens got over the fair share of each.
+    """Return Jain's index of each organisation's tokens over its fair share.
 
-    Those with priority are left out: they are served first.  The fair share
-    divides what was given in all by weight, nobody having more than it asked
-    for.
+    Requests with priority are left out because they are served first.  The fair
+    shares divide the tokens of all completed answers by weight, each capped at
+    the tokens that the organisation asked for.
     """
     asked: Counter[str] = Counter()
     got: Counter[str] = Counter()
@@ -71,53 +71,54 @@
 
 
 def _measure_recovery(result: Result) -> float:
-    """Return seconds from a disturbance until callers are served well again."""
-    if result.trace.disturbed is None:
+    """Return the seconds from a disturbance until 95 % are answered in time again."""
+    if result.trace.disturbance is None:
         return 0.0
-    _, end = result.trace.disturbed
+    _, end = result.trace.disturbance
     buckets: dict[int, list[Outcome]] = defaultdict(list)
     for outcome in result.outcomes:
         if not outcome.call.poison:
-            buckets[int(outcome.call.at // _BUCKET)].append(outcome)
-    bad = [index for index, found in buckets.items() if share(found) < _RECOVERED]
-    last = max(((index + 1) * _BUCKET for index in bad), default=end)
+            buckets[int(outcome.call.at // _BUCKET_WIDTH)].append(outcome)
+    bad = [index for index, found in buckets.items() if share(found) < _RECOVERED_SHARE]
+    last = max(((index + 1) * _BUCKET_WIDTH for index in bad), default=end)
     return max(0.0, last - end) / SECOND
 
 
-def _measure_faulty(result: Result) -> float:
-    """Return what part of the work goes to faulty targets three seconds on."""
+def _measure_sent_to_faulty(result: Result) -> float:
+    """Return the share of attempts sent to faulty targets 3 s after the fault."""
     events = result.trace.events
     faults = {e.target: e.at for e in events if e.kind in ("slow", "failing")}
     if not faults:
         return 0.0
-    begin = max(faults.values()) + _SETTLED
+    begin = max(faults.values()) + _DETECTION_TIME
     sent = [target for at, target in result.sent if at >= begin]
     return sum(target in faults for target in sent) / max(1, len(sent))
 
 
-def _measure_hopeless(result: Result) -> float:
-    """Return how long after they became hopeless callers were refused (p99).
+def _measure_refusal_delay(result: Result) -> float:
+    """Return how long requests stayed unrefused once unable to finish (p99, in ms).
 
-    A request is hopeless when an idle engine couldn't end it in time any more.
+    A request can't finish in time when even an idle engine would miss its
+    deadline.
     """
-    figures = result.trace.figures
-    spans = []
+    parameters = result.trace.parameters
+    delays = []
     for outcome in result.outcomes:
         if outcome.refused is None:
             continue
         call = outcome.call
-        fastest = call.tokens * (figures.base + figures.slope)
-        spans.append(max(0.0, outcome.refused - (call.deadline - fastest)))
-    return percentile(spans, 0.99)
+        fastest = call.tokens * (parameters.base + parameters.slope)
+        delays.append(max(0.0, outcome.refused - (call.deadline - fastest)))
+    return percentile(delays, 0.99)
 
 
-def measure(result: Result) -> Figures:
-    """Return the figures of one run."""
+def measure(result: Result) -> Metrics:
+    """Return the metrics of one run by name."""
     outcomes = result.outcomes
     whole = [outcome for outcome in outcomes if outcome.answered is not None]
     refused = [outcome for outcome in outcomes if outcome.refused is not None]
     good = sum(outcome.call.tokens for outcome in whole)
-    wasted = sum(outcome.made for outcome in outcomes)
+    wasted = sum(outcome.tokens_generated for outcome in outcomes)
     firsts = [outcome.first - outcome.call.at for outcome in whole]
     by_name: dict[str, list[Outcome]] = defaultdict(list)
     by_class: dict[str, list[Outcome]] = defaultdict(list)
@@ -140,10 +141,10 @@
         "first p95 ms": percentile(firsts, 0.95),
         "first p99 ms": percentile(firsts, 0.99),
         "refusal p50 ms": percentile((o.refused - o.call.at for o in refused), 0.5),
-        "hopeless p99 ms": _measure_hopeless(result),
+        "hopeless p99 ms": _measure_refusal_delay(result),
         "jain": _measure_fairness(result),
         "recovery s": _measure_recovery(result),
-        "to faulty after 3 s": _measure_faulty(result),
+        "to faulty after 3 s": _measure_sent_to_faulty(result),
         "engine queue p99": percentile((s[2] for s in result.samples), 0.99),
         "crashes": float(result.crashes),
         "bare refusals": float(sum(not o.retry_after for o in refused)),
--- a/bench/load/report.py
+++ b/bench/load/report.py
@@ -9,9 +9,9 @@
 mpl.use("Agg")
 from matplotlib import pyplot as plt
 
-from bench.load.measures import Figures
+from bench.load.measures import Metrics
 
-_PARTS = (
+_PLOTTED_SHARES = (
     "in time",
     "urgent in time",
     "worst organisation",
@@ -21,11 +21,11 @@
     "jain",
 )
 
-Runs = dict[tuple[str, str], list[Figures]]
+Runs = dict[tuple[str, str], list[Metrics]]
 
 
-def summarise(runs: list[Figures]) -> dict[str, tuple[float, float, float]]:
-    """Return median, least and most of each figure."""
+def summarise(runs: list[Metrics]) -> dict[str, tuple[float, float, float]]:
+    """Return the median, minimum and maximum of each metric."""
     values: dict[str, list[float]] = defaultdict(list)
     for run in runs:
         for name, value in run.items():
@@ -40,7 +40,7 @@
 
 
 def write_table(runs: Runs, seeds: int) -> str:
-    """Return the table in Markdown: a section for each trace."""
+    """Return the comparison in Markdown, with one table for each trace."""
     lines = [f"# Load policies compared: medians of {seeds} seeds [least, most]"]
     for trace in dict.fromkeys(name for name, _ in runs):
         found = {p: summarise(r) for (t, p), r in runs.items() if t == trace}
@@ -53,12 +53,12 @@
 
 
 def plot_trace(runs: Runs, trace: str, folder: pathlib.Path) -> None:
-    """Draw one plot: bars with spread for each policy."""
+    """Plot the medians of a trace for each policy, with minimum and maximum."""
     found = {p: summarise(r) for (t, p), r in runs.items() if t == trace}
     figure, (shares, waits) = plt.subplots(1, 2, figsize=(13, 4.5), width_ratios=[2, 1])
     width = 0.8 / len(found)
     for place, (policy, summary) in enumerate(found.items()):
-        _draw(shares, summary, _PARTS, place * width, width, policy)
+        _draw(shares, summary, _PLOTTED_SHARES, place * width, width, policy)
         names = ("first p50 ms", "first p95 ms", "first p99 ms", "refusal p50 ms")
         _draw(waits, summary, names, place * width, width, policy)
     shares.set_title(f"{trace}: shares")
--- a/bench/load/runs.py
+++ b/bench/load/runs.py
@@ -1,4 +1,4 @@
-"""Run a trace against a policy in virtual time and keep what callers got."""
+"""Simulate a trace under a policy in virtual time and record each outcome."""
 
 import random
 from collections.abc import Callable
@@ -24,20 +24,20 @@
 from bench.load.timeline import Timeline
 from bench.load.traces import Call, Event, Trace
 
-_NETWORK: Millis = 1.0
-_LOST_EVENTS = 0.05
+_NETWORK_DELAY: Millis = 1.0
+_CACHE_EVENT_LOSS_RATE = 0.05
 _DOMAINS = ("north", "middle", "south")
-_NOTICED: Millis = 1 * SECOND
-"""After which the other routers know that one is lost."""
-_RECONNECT: Millis = 300.0
-_AFTER: Millis = 50 * SECOND
+_ROUTER_LOSS_DETECTION: Millis = 1 * SECOND
+"""Time until the other routers have detected the loss of a router."""
+_RECONNECT_DELAY: Millis = 300.0
+_MAX_RUN_AFTER_LAST_CALL: Millis = 50 * SECOND
 
-Make = Callable[[DispatchSettings, random.Random], Policy]
+PolicyFactory = Callable[[DispatchSettings, random.Random], Policy]
 
 
 @dataclass(eq=False)
 class Outcome:
-    """What one caller got."""
+    """The outcome of one call."""
 
     call: Call
     answered: Millis | None = None
@@ -46,11 +46,11 @@
     retry_after: Millis | None = None
     code: int = 0
     attempts: int = 0
-    made: float = 0.0
+    tokens_generated: float = 0.0
 
 
 @dataclass
-class _Flight:
+class _ActiveCall:
     outcome: Outcome
     router: int
     stream: Stream | None = None
@@ -60,7 +60,7 @@
 
 @dataclass
 class Result:
-    """Everything that one run gave."""
+    """The records of one run, from which the metrics are computed."""
 
     trace: Trace
     outcomes: list[Outcome] = field(default_factory=list)
@@ -70,26 +70,28 @@
 
 
 class Run:
-    """One trace against one policy."""
+    """A simulation of one trace under one policy."""
 
-    def __init__(self, trace: Trace, make: Make, seed: int) -> None:
+    def __init__(self, trace: Trace, make_policy: PolicyFactory, seed: int) -> None:
         self.trace = trace
         self._rng = random.Random(f"run {seed}")
         self._timeline = Timeline()
-        self._cluster = Cluster.from_figures(
-            self._timeline, trace.engines, trace.figures
+        self._cluster = Cluster.from_parameters(
+            self._timeline, trace.engines, trace.parameters
         )
         self._alive = list(range(trace.routers))
-        self._routers = [self._make_router(make, n) for n in range(trace.routers)]
+        self._routers = [
+            self._make_router(make_policy, n) for n in range(trace.routers)
+        ]
         self._ticks: list[Millis | None] = [None] * trace.routers
-        self._flights: dict[str, _Flight] = {}
+        self._active_calls: dict[str, _ActiveCall] = {}
         self._candidates: dict[int, dict[str, int]] = {}
         self.result = Result(trace)
 
-    def _make_router(self, make: Make, number: int) -> Policy:
+    def _make_router(self, make_policy: PolicyFactory, number: int) -> Policy:
         domain = _DOMAINS[number % len(_DOMAINS)]
         settings = DispatchSettings(domain, routers=self.trace.routers, asks=True)
-        router = make(settings, random.Random(self._rng.random()))
+        router = make_policy(settings, random.Random(self._rng.random()))
         targets = [
             Target(name, _DOMAINS[i % len(_DOMAINS)], self.trace.declared_slots)
             for i, name in enumerate(self._cluster.engines)
@@ -98,47 +100,51 @@
         return router
 
     def run(self) -> Result:
-        """Return what callers got."""
+        """Simulate the whole trace and return its records."""
         for call in self.trace.calls:
             self._timeline.at(call.at, lambda c=call: self._arrive(c))
         for event in self.trace.events:
-            self._timeline.at(event.at, lambda e=event: self._happen(e))
+            self._timeline.at(event.at, lambda e=event: self._apply_event(e))
         for engine in self._cluster.engines.values():
-            self._watch(engine)
+            self._start_reporting(engine)
         last = max(call.deadline for call in self.trace.calls)
-        self._timeline.run(min(last, self.trace.calls[-1].at + _AFTER))
+        self._timeline.run(
+            min(last, self.trace.calls[-1].at + _MAX_RUN_AFTER_LAST_CALL)
+        )
         engines = self._cluster.engines.values()
         self.result.crashes = sum(engine.crashes for engine in engines)
         return self.result
 
     # Engines
 
-    def _watch(self, engine: EngineModel) -> None:
-        engine.on_cache = lambda change: self._tell_cache(engine, change)
+    def _start_reporting(self, engine: EngineModel) -> None:
+        engine.on_cache = lambda change: self._deliver_cache_change(engine, change)
         offset = self._rng.uniform(0.0, self.trace.report_interval)
-        self._timeline.at(offset, lambda: self._report(engine))
+        self._timeline.at(offset, lambda: self._send_report(engine))
 
-    def _report(self, engine: EngineModel) -> None:
+    def _send_report(self, engine: EngineModel) -> None:
         now = self._timeline.now
         self._timeline.at(
-            now + self.trace.report_interval, lambda: self._report(engine)
+            now + self.trace.report_interval, lambda: self._send_report(engine)
         )
         if engine.faults.down:
             return
         self.result.samples.append((now, engine.running, engine.waiting))
         report = LoadReport(engine.name, engine.running, engine.waiting, now)
-        self._timeline.at(now + self.trace.report_lag, lambda: self._tell(report))
+        self._timeline.at(
+            now + self.trace.report_delay, lambda: self._deliver_report(report)
+        )
 
-    def _tell(self, report: LoadReport) -> None:
+    def _deliver_report(self, report: LoadReport) -> None:
         now = self._timeline.now
         for number in self._alive:
-            self._act(number, self._routers[number].load_report(report, now))
+            self._perform(number, self._routers[number].load_report(report, now))
 
-    def _tell_cache(self, engine: EngineModel, change: CacheChange) -> None:
-        if self._rng.random() < _LOST_EVENTS:
+    def _deliver_cache_change(self, engine: EngineModel, change: CacheChange) -> None:
+        if self._rng.random() < _CACHE_EVENT_LOSS_RATE:
             return
         event = CacheEvent(engine.name, change.sequence, change.stored, change.evicted)
-        at = self._timeline.now + self.trace.report_lag
+        at = self._timeline.now + self.trace.report_delay
 
         def tell() -> None:
             for number in self._alive:
@@ -146,7 +152,7 @@
 
         self._timeline.at(at, tell)
 
-    def _happen(self, event: Event) -> None:
+    def _apply_event(self, event: Event) -> None:
         if event.kind == "router lost":
             self._lose_router(int(event.target))
             return
@@ -163,33 +169,35 @@
     def _lose_router(self, number: int) -> None:
         self._alive.remove(number)
         now = self._timeline.now
-        for flight in list(self._flights.values()):
-            if flight.router != number:
+        for active in list(self._active_calls.values()):
+            if active.router != number:
                 continue
-            self._abandon(flight)
-            del self._flights[flight.outcome.call.identity]
-            self._timeline.at(now + _RECONNECT, lambda o=flight.outcome: self._enter(o))
+            self._cancel_stream(active)
+            del self._active_calls[active.outcome.call.identity]
+            self._timeline.at(
+                now + _RECONNECT_DELAY, lambda o=active.outcome: self._submit_call(o)
+            )
 
-        def notice() -> None:
+        def update_survivors() -> None:
             for left in self._alive:
                 self._routers[left].set_routers(len(self._alive))
 
-        self._timeline.at(now + _NOTICED, notice)
+        self._timeline.at(now + _ROUTER_LOSS_DETECTION, update_survivors)
 
     # Calls
 
     def _arrive(self, call: Call) -> None:
         outcome = Outcome(call)
         self.result.outcomes.append(outcome)
-        self._timeline.at(call.deadline, lambda: self._leave(call.identity))
-        self._enter(outcome)
+        self._timeline.at(call.deadline, lambda: self._time_out(call.identity))
+        self._submit_call(outcome)
 
-    def _enter(self, outcome: Outcome) -> None:
+    def _submit_call(self, outcome: Outcome) -> None:
         call, now = outcome.call, self._timeline.now
         if now >= call.deadline:
             return
         number = self._rng.choice(self._alive)
-        self._flights[call.identity] = _Flight(outcome, number)
+        self._active_calls[call.identity] = _ActiveCall(outcome, number)
         work = Work(
             call.identity,
             call.organisation,
@@ -202,7 +210,7 @@
             call.prefixes,
             call.content,
         )
-        self._act(number, self._routers[number].arrive(work, now))
+        self._perform(number, self._routers[number].arrive(work, now))
 
     def _list_candidates(self, priority: int) -> dict[str, int]:
         if priority not in self._candidates:
@@ -210,30 +218,30 @@
             self._candidates[priority] = dict.fromkeys(names, priority)
         return self._candidates[priority]
 
-    def _leave(self, identity: str) -> None:
-        flight = self._flights.pop(identity, None)
-        if flight is None:
+    def _time_out(self, identity: str) -> None:
+        active = self._active_calls.pop(identity, None)
+        if active is None:
             return
-        self._abandon(flight)
-        if flight.router in self._alive:
-            router = self._routers[flight.router]
-            self._act(flight.router, router.cancel(identity, self._timeline.now))
+        self._cancel_stream(active)
+        if active.router in self._alive:
+            router = self._routers[active.router]
+            self._perform(active.router, router.cancel(identity, self._timeline.now))
 
-    def _abandon(self, flight: _Flight) -> None:
-        if flight.stream is not None and flight.engine is not None:
-            flight.engine.cancel(flight.stream)
-            flight.outcome.made += flight.stream.made
+    def _cancel_stream(self, active: _ActiveCall) -> None:
+        if active.stream is not None and active.engine is not None:
+            active.engine.cancel(active.stream)
+            active.outcome.tokens_generated += active.stream.tokens_generated
 
     # Actions
 
-    def _act(self, number: int, actions: Actions) -> None:
+    def _perform(self, number: int, actions: Actions) -> None:
         for action in actions:
             if isinstance(action, Send):
                 self._send(action)
             elif isinstance(action, Refuse):
                 self._refuse(action)
             elif isinstance(action, Cancel):
-                self._stop_attempt(action)
+                self._cancel_attempt(action)
             elif isinstance(action, Announce):
                 self._announce(number, action)
             elif isinstance(action, Ask):
@@ -253,108 +261,112 @@
         if self._ticks[number] != due or number not in self._alive:
             return
         self._ticks[number] = None
-        self._act(number, self._routers[number].tick(self._timeline.now))
+        self._perform(number, self._routers[number].tick(self._timeline.now))
 
-    def _announce(self, number: int, news: Announce) -> None:
+    def _announce(self, number: int, announcement: Announce) -> None:
         def tell() -> None:
             for other in self._alive:
                 if other != number:
                     router = self._routers[other]
-                    router.crashed(news.content, news.target, self._timeline.now)
+                    router.crashed(
+                        announcement.content, announcement.target, self._timeline.now
+                    )
 
-        self._timeline.at(self._timeline.now + _NETWORK, tell)
+        self._timeline.at(self._timeline.now + _NETWORK_DELAY, tell)
 
     def _ask(self, number: int, ask: Ask) -> None:
-        """Let the other routers prepare, and settle after a round trip."""
+        """Ask the other routers to prepare; settle everywhere after a round trip."""
 
         def prepare() -> None:
             now, others = self._timeline.now, [n for n in self._alive if n != number]
             prepared = [self._routers[n].prepare(ask, now) for n in others]
             agreed = all(prepared)
-            self._timeline.at(now + _NETWORK, lambda: settle(others, agreed))
+            self._timeline.at(now + _NETWORK_DELAY, lambda: settle(others, agreed))
 
         def settle(others: list[int], agreed: bool) -> None:
             for n in [number, *others]:
                 if n in self._alive:
                     actions = self._routers[n].settle(ask, agreed, self._timeline.now)
-                    self._act(n, actions)
+                    self._perform(n, actions)
 
-        self._timeline.at(self._timeline.now + _NETWORK, prepare)
+        self._timeline.at(self._timeline.now + _NETWORK_DELAY, prepare)
 
-    def _stop_attempt(self, action: Cancel) -> None:
-        flight = self._flights.get(action.identity)
-        if flight is None:
+    def _cancel_attempt(self, action: Cancel) -> None:
+        active = self._active_calls.get(action.identity)
+        if active is None:
             return
-        self._abandon(flight)
-        flight.stream = None
-        flight.number += 1
+        self._cancel_stream(active)
+        active.stream = None
+        active.number += 1
 
     def _refuse(self, action: Refuse) -> None:
-        flight = self._flights.pop(action.identity, None)
-        if flight is None:
+        active = self._active_calls.pop(action.identity, None)
+        if active is None:
             return
-        flight.outcome.refused = self._timeline.now
-        flight.outcome.retry_after = action.retry_after
-        flight.outcome.code = action.code.number
+        active.outcome.refused = self._timeline.now
+        active.outcome.retry_after = action.retry_after
+        active.outcome.code = action.code.number
 
     def _send(self, send: Send) -> None:
-        flight = self._flights.get(send.identity)
-        if flight is None:
+        active = self._active_calls.get(send.identity)
+        if active is None:
             return
-        call = flight.outcome.call
-        flight.outcome.attempts += 1
-        flight.number += 1
-        number = flight.number
+        call = active.outcome.call
+        active.outcome.attempts += 1
+        active.number += 1
+        number = active.number
         engine = self._cluster.engines[send.target]
         self.result.sent.append((self._timeline.now, send.target))
 
-        def later(act: Callable[[], None]) -> Callable[[], None]:
+        def defer(act: Callable[[], None]) -> Callable[[], None]:
             def arrive() -> None:
-                current = self._flights.get(call.identity) is flight
-                if current and flight.number == number:
+                current = self._active_calls.get(call.identity) is active
+                if current and active.number == number:
                     act()
 
-            return lambda: self._timeline.at(self._timeline.now + _NETWORK, arrive)
+            return lambda: self._timeline.at(
+                self._timeline.now + _NETWORK_DELAY, arrive
+            )
 
         stream = Stream(
             call.identity,
             call.prompt,
             call.tokens,
             call.prefixes,
-            later(lambda: self._first(flight)),
-            later(lambda: self._done(flight)),
-            lambda failure: later(lambda: self._failed(flight, failure))(),
+            defer(lambda: self._handle_first_token(active)),
+            defer(lambda: self._handle_done(active)),
+            lambda failure: defer(lambda: self._handle_failure(active, failure))(),
             call.poison,
         )
-        flight.stream, flight.engine = stream, engine
+        active.stream, active.engine = stream, engine
 
         def submit() -> None:
             if stream.state != "ended":
                 engine.submit(stream, send.priority)
 
-        self._timeline.at(self._timeline.now + _NETWORK, submit)
+        self._timeline.at(self._timeline.now + _NETWORK_DELAY, submit)
 
-    def _first(self, flight: _Flight) -> None:
-        outcome = flight.outcome
+    def _handle_first_token(self, active: _ActiveCall) -> None:
+        outcome = active.outcome
         if outcome.first is None:
             outcome.first = self._timeline.now
-        router = self._routers[flight.router]
+        router = self._routers[active.router]
         identity = outcome.call.identity
-        self._act(flight.router, router.first_token(identity, self._timeline.now))
+        self._perform(active.router, router.first_token(identity, self._timeline.now))
 
-    def _done(self, flight: _Flight) -> None:
-        outcome, now = flight.outcome, self._timeline.now
+    def _handle_done(self, active: _ActiveCall) -> None:
+        outcome, now = active.outcome, self._timeline.now
         call = outcome.call
         outcome.answered = now
-        del self._flights[call.identity]
-        router = self._routers[flight.router]
-        self._act(flight.router, router.done(call.identity, call.tokens, now))
-
-    def _failed(self, flight: _Flight, failure: Failure) -> None:
-        outcome, now = flight.outcome, self._timeline.now
-        if flight.stream is not None:
-            outcome.made += flight.stream.made
-        flight.stream = None
-        router = self._routers[flight.router]
+        del self._active_calls[call.identity]
+        router = self._routers[active.router]
+        self._perform(active.router, router.done(call.identity, call.tokens, now))
+
+    def _handle_failure(self, active: _ActiveCall, failure: Failure) -> None:
+        outcome, now = active.outcome, self._timeline.now
+        if active.stream is not None:
+            outcome.tokens_generated += active.stream.tokens_generated
+        active.stream = None
+        router = self._routers[active.router]
         identity = outcome.call.identity
-        self._act(flight.router, router.failed(identity, failure, now))
+        self._perform(active.router, router.failed(identity, failure, now))
--- a/bench/load/thin.py
+++ b/bench/load/thin.py
@@ -1,4 +1,4 @@
-"""The first version of the dispatcher, kept to compare with: a plain queue."""
+"""A baseline dispatcher to compare with: one bounded queue in order of arrival."""
 
 import random
 from collections import OrderedDict
@@ -23,25 +23,25 @@
 
 
 @dataclass
-class _Waiting:
+class _QueuedWork:
     work: Work
     attempts: int = 0
     tried: set[str] = field(default_factory=set)
 
 
-class ThinDispatcher:
-    """Queue work and place it on targets.
+class FifoDispatcher:
+    """Queue requests in order of arrival and send them to targets with free slots.
 
     Parameters
     ----------
     settings
-        The figures of the policies.
+        Limits such as the queue length and the number of attempts.
     rng
-        Source of every random choice.
+        Random generator that breaks ties between equally loaded targets.
 
     Examples
     --------
-    >>> dispatcher = ThinDispatcher(DispatchSettings(), random.Random(0))
+    >>> dispatcher = FifoDispatcher(DispatchSettings(), random.Random(0))
     >>> dispatcher.configure([Target("e1", "north", slots=1)], now=0.0)
     []
     >>> work = Work("r1", "pounds", "advice", {"e1": 0}, 10, 20, deadline=1_000.0)
@@ -54,38 +54,38 @@
         self._rng = rng
         self._targets: dict[str, Target] = {}
         self._leaving: set[str] = set()
-        self._running: dict[str, tuple[_Waiting, str]] = {}
+        self._running: dict[str, tuple[_QueuedWork, str]] = {}
         self._load: dict[str, int] = {}
-        self._queue: OrderedDict[str, _Waiting] = OrderedDict()
+        self._queue: OrderedDict[str, _QueuedWork] = OrderedDict()
 
     def configure(self, targets: Iterable[Target], now: Millis) -> Actions:
-        """Take in the targets that are declared now."""
+        """Replace the set of declared targets."""
         self._targets = {target.name: target for target in targets}
         self._leaving &= set(self._targets)
-        return self._place(now)
+        return self._dispatch_queue(now)
 
     def set_routers(self, routers: int) -> None:
-        """Take in how many routers share the targets."""
+        """Ignore the number of routers: this policy doesn't divide the slots."""
 
     def arrive(self, work: Work, now: Millis) -> Actions:
-        """Take in a request."""
+        """Queue a request, or refuse it if the queue is full."""
         if len(self._queue) >= self._settings.queue_length:
             return [Refuse(work.identity, OVERLOADED, "queue is full", _RETRY_AFTER)]
-        self._queue[work.identity] = _Waiting(work)
-        return self._place(now)
+        self._queue[work.identity] = _QueuedWork(work)
+        return self._dispatch_queue(now)
 
     def first_token(self, identity: str, now: Millis) -> Actions:
-        """Take in that an answer has begun."""
+        """Ignore the first token of an answer."""
         return []
 
     def done(self, identity: str, tokens: int, now: Millis) -> Actions:
-        """Take in that an answer is whole."""
-        self._stop(identity)
-        return self._place(now)
+        """Free the slot of a completed answer."""
+        self._remove_running(identity)
+        return self._dispatch_queue(now)
 
     def failed(self, identity: str, failure: Failure, now: Millis) -> Actions:
-        """Take in that an attempt failed; the work is sent again or refused."""
-        waiting = self._stop(identity)
+        """Retry or refuse a request whose attempt failed."""
+        waiting = self._remove_running(identity)
         if waiting is None:
             return []
         never_ran = failure in (Failure.NOT_SENT, Failure.REJECTED)
@@ -93,44 +93,44 @@
         if not again or waiting.attempts >= self._settings.attempts:
             code = NO_ENGINE if never_ran else ENGINE_FAILED
             refusal = Refuse(identity, code, failure.value, _RETRY_AFTER)
-            return [refusal, *self._place(now)]
+            return [refusal, *self._dispatch_queue(now)]
         self._queue[identity] = waiting
         self._queue.move_to_end(identity, last=False)
-        return self._place(now)
+        return self._dispatch_queue(now)
 
     def cancel(self, identity: str, now: Millis) -> Actions:
-        """Take in that the caller left, or that the request is given up."""
+        """Drop a request that its caller or the router has abandoned."""
         self._queue.pop(identity, None)
-        self._stop(identity)
-        return self._place(now)
+        self._remove_running(identity)
+        return self._dispatch_queue(now)
 
     def load_report(self, report: LoadReport, now: Millis) -> Actions:
-        """Take in a target's late report of its load."""
+        """Ignore the load report of a target."""
         return []
 
     def cache_event(self, event: CacheEvent, now: Millis) -> Actions:
-        """Take in a change of a target's prefix cache."""
+        """Ignore a change of a target's prefix cache."""
         return []
 
     def leaving(self, target: str, now: Millis) -> Actions:
-        """Take in that a target is leaving: it gets no new work."""
+        """Stop sending requests to a target that is being removed."""
         self._leaving.add(target)
-        return self._place(now)
+        return self._dispatch_queue(now)
 
     def staying(self, target: str, now: Millis) -> Actions:
-        """Take in that a target is not leaving after all."""
+        """Send requests again to a target whose removal was cancelled."""
         self._leaving.discard(target)
-        return self._place(now)
+        return self._dispatch_queue(now)
 
     def tick(self, now: Millis) -> Actions:
-        """Do what is due: refuse work whose deadline has passed."""
-        return self._place(now)
+        """Refuse requests whose deadline has passed and send what fits."""
+        return self._dispatch_queue(now)
 
     def next_tick(self, now: Millis) -> Millis | None:
-        """Return the instant at which `tick` must be called, if any."""
+        """Return the earliest deadline in the queue, when `tick` must be called."""
         return min((w.work.deadline for w in self._queue.values()), default=None)
 
-    def _stop(self, identity: str) -> _Waiting | None:
+    def _remove_running(self, identity: str) -> _QueuedWork | None:
         running = self._running.pop(identity, None)
         if running is None:
             return None
@@ -138,7 +138,7 @@
         self._load[target] -= 1
         return waiting
 
-    def _place(self, now: Millis) -> Actions:
+    def _dispatch_queue(self, now: Millis) -> Actions:
         actions: Actions = []
         for identity, waiting in list(self._queue.items()):
             if waiting.work.deadline <= now:
@@ -151,11 +151,11 @@
                 actions.append(Refuse(identity, NO_ENGINE, "", _RETRY_AFTER))
                 continue
             fresh = [n for n in usable if n not in waiting.tried] or usable
-            open_ones = [n for n in fresh if self._load.get(n, 0) < self._slots(n)]
-            if not open_ones:
+            free_targets = [n for n in fresh if self._load.get(n, 0) < self._slots(n)]
+            if not free_targets:
                 continue
             target = min(
-                open_ones, key=lambda n: (self._load.get(n, 0), self._rng.random())
+                free_targets, key=lambda n: (self._load.get(n, 0), self._rng.random())
             )
             actions.append(self._send(identity, waiting, target))
         return actions
@@ -166,7 +166,7 @@
     def _slots(self, name: str) -> int:
         return self._targets[name].slots
 
-    def _send(self, identity: str, waiting: _Waiting, target: str) -> Send:
+    def _send(self, identity: str, waiting: _QueuedWork, target: str) -> Send:
         del self._queue[identity]
         waiting.attempts += 1
         waiting.tried.add(target)
--- a/bench/load/timeline.py
+++ b/bench/load/timeline.py
@@ -1,4 +1,4 @@
-"""Virtual time: run what is due, in order."""
+"""Virtual time: run scheduled actions in the order of their due times."""
 
 import heapq
 import itertools
@@ -8,20 +8,20 @@
 
 
 class Timeline:
-    """Things to do at instants."""
+    """A queue of actions ordered by due time, then by order of scheduling."""
 
     def __init__(self) -> None:
         self.now: Millis = 0.0
         self._due: list[tuple[Millis, int, Callable[[], None]]] = []
         self._numbers = itertools.count()
 
-    def at(self, instant: Millis, act: Callable[[], None]) -> None:
-        """Do something at an instant, or now when that has passed."""
+    def at(self, instant: Millis, action: Callable[[], None]) -> None:
+        """Schedule an action for an instant, or for now if it has passed."""
         due = max(instant, self.now)
-        heapq.heappush(self._due, (due, next(self._numbers), act))
+        heapq.heappush(self._due, (due, next(self._numbers), action))
 
     def run(self, until: Millis) -> None:
-        """Do everything that is due until an instant."""
+        """Run every action due up to and including an instant."""
         while self._due and self._due[0][0] <= until:
-            self.now, _, act = heapq.heappop(self._due)
-            act()
+            self.now, _, action = heapq.heappop(self._due)
+            action()
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,8 +1,8 @@
-"""Measure what a router adds to a request; `make bench` runs this.
+"""Measure the overhead of a router per request and stream (`make bench`).
 
-Engines answer at once and the budget never ends, so that the router is the
-bottleneck.  The same callers ask the same engines directly and through the
-router in one run.
+Engines answer immediately and the budget is practically unlimited, so that the
+router is the bottleneck.  In one run the same callers send requests to the same
+engines directly and through the router.
 """
 
 import asyncio
@@ -21,18 +21,18 @@
 _DECODE_MS = 1
 _SHORT_ANSWER = 8
 _LONG_ANSWER = 400
-_PACE_MS = 25
-_PACED = 60
-_IDLE = 1_000
-_OPEN = 500
+_PACED_TOKEN_MS = 25
+_PACED_STREAMS = 60
+_IDLE_CONNECTIONS = 1_000
+_OPEN_STREAMS = 500
 _SLOW_FACTOR = 5_000.0
 _TICKS_PER_SECOND = 100
 _PAUSE_S = 1.0
-_TOKENS = 2_000_000_000
+_BUDGET_TOKENS = 2_000_000_000
 
 
 async def run_callers(plan: Plan, workers: int = _WORKERS) -> Received:
-    """Run a plan in several processes, its load shared among them."""
+    """Run a plan in several processes that divide its load; merge the results."""
     share = dataclasses.replace(
         plan, streams=plan.streams // workers, rate=plan.rate / workers
     )
@@ -67,17 +67,17 @@
     for line in pathlib.Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1])
-    raise ValueError(f"process {pid} states no memory")
+    raise ValueError(f"process {pid} has no VmRSS line in its status")
 
 
 def read_cpu_seconds(pid: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the user and system processor time of a process in seconds."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / _TICKS_PER_SECOND
 
 
 class Overhead:
-    """The course of the measurement."""
+    """Runs each measurement on a new fleet with one router."""
 
     def __init__(self) -> None:
         self.fleet = self._make_fleet()
@@ -91,7 +91,7 @@
         )
 
     async def run(self) -> None:
-        """Measure everything, each on a fresh router, and print it."""
+        """Run and print every measurement, each on a newly started router."""
         await self._run_part(self.measure_idle)
         await self._run_part(self.measure_open)
         rate = await self._run_part(self.measure_saturation)
@@ -104,8 +104,8 @@
         try:
             await fleet.start()
             await fleet.apply()
-            await fleet.top_up("bench", _TOKENS, "bench")
-            # The first request draws the grant; what follows finds it there.
+            await fleet.top_up("bench", _BUDGET_TOKENS, "bench")
+            # Warm-up: the first request draws the grant that later requests use.
             await run_callers(Plan(self._router, streams=_WORKERS, seconds=0.5))
             return await part()
         except Exception:
@@ -127,7 +127,7 @@
         return self.fleet.processes["r1"].pid
 
     async def measure_saturation(self) -> float:
-        """Print and return the requests a second that one router serves."""
+        """Print and return the maximum requests per second of one router."""
         plan = Plan(self._router, max_tokens=_SHORT_ANSWER, streams=300)
         before = read_cpu_seconds(self._pid)
         found = await run_callers(plan)
@@ -142,7 +142,7 @@
         return rate
 
     async def measure_overhead(self, rate: float) -> float:
-        """Print the first token's time directly and through the router."""
+        """Print the time to first token, directly and through the router."""
         plan = Plan(self._engines, max_tokens=_SHORT_ANSWER, rate=rate, seconds=6.0)
         direct = await run_callers(plan)
         before = read_cpu_seconds(self._pid)
@@ -153,17 +153,18 @@
             f"failed {direct.failed}+{routed.failed})"
         )
         for share in (0.5, 0.95, 0.99):
-            there = pick_percentile(direct.first, share)
-            through = pick_percentile(routed.first, share)
+            direct_ms = pick_percentile(direct.first, share)
+            routed_ms = pick_percentile(routed.first, share)
             print(
-                f"  p{share * 100:.0f}: direct {there:.2f} ms, routed {through:.2f} ms,"
-                f" added {through - there:.2f} ms",
+                f"  p{share * 100:.0f}: direct {direct_ms:.2f} ms, "
+                f"routed {routed_ms:.2f} ms,"
+                f" added {routed_ms - direct_ms:.2f} ms",
                 flush=True,
             )
         return rate
 
     async def measure_streams(self) -> float:
-        """Print the streamed tokens a second of one router on one core."""
+        """Print and return the streamed tokens per second of one router on one core."""
         plan = Plan(self._router, max_tokens=_LONG_ANSWER, streams=90)
         before = read_cpu_seconds(self._pid)
         found = await run_callers(plan)
@@ -182,19 +183,21 @@
         return read_memory_kb(self._pid)
 
     async def measure_paced(self) -> float:
-        """Print the processor time of a token that arrives alone, as engines pace it.
+        """Print the processor time per token when each token arrives on its own.
 
-        At saturation tokens arrive in batches, which hides what one costs.
+        At saturation tokens arrive in batches, which hides the cost of one token.
         """
         fleet = self.fleet
         for name in _ENGINES:
-            await fleet.set_faults(fleet.addresses[name], slow=_PACE_MS / _DECODE_MS)
-        plan = Plan(self._router, max_tokens=100, streams=_PACED)
+            await fleet.set_faults(
+                fleet.addresses[name], slow=_PACED_TOKEN_MS / _DECODE_MS
+            )
+        plan = Plan(self._router, max_tokens=100, streams=_PACED_STREAMS)
         before = read_cpu_seconds(self._pid)
         found = await run_callers(plan)
         used = read_cpu_seconds(self._pid) - before
         print(
-            f"tokens every {_PACE_MS} ms ({_PACED} streams): "
+            f"tokens every {_PACED_TOKEN_MS} ms ({_PACED_STREAMS} streams): "
             f"{found.tokens / found.seconds:.0f}/s, failed {found.failed}, "
             f"{used / found.seconds:.2f} of a core, "
             f"{used / found.tokens * 1e6:.0f} microseconds a token",
@@ -203,38 +206,44 @@
         return used / found.tokens
 
     async def measure_idle(self) -> float:
-        """Print the memory of a connection that carries nothing."""
+        """Print and return the memory per idle connection, in kilobytes."""
         print(f"memory of a router that served a little: {self._memory()} KB")
         address = Address.parse(self._router[0])
         before = self._memory()
         opened = [
             await asyncio.open_connection(address.ip, address.port)
-            for _ in range(_IDLE)
+            for _ in range(_IDLE_CONNECTIONS)
         ]
         await asyncio.sleep(_PAUSE_S)
-        grown = self._memory() - before
-        print(f"memory of an idle connection: {grown / _IDLE:.1f} KB ({_IDLE} opened)")
+        growth = self._memory() - before
+        print(
+            f"memory of an idle connection: {growth / _IDLE_CONNECTIONS:.1f} KB "
+            f"({_IDLE_CONNECTIONS} opened)"
+        )
         for _, writer in opened:
             writer.close()
-        return grown / _IDLE
+        return growth / _IDLE_CONNECTIONS
 
     async def measure_open(self) -> float:
-        """Print the memory of a stream under way."""
+        """Print and return the memory per open stream, in kilobytes."""
         await self.fleet.set_faults(self.fleet.addresses["slow-1"], slow=_SLOW_FACTOR)
         before = self._memory()
         plan = Plan(
-            self._router, model="slow", max_tokens=2, streams=_OPEN, seconds=0.5
+            self._router, model="slow", max_tokens=2, streams=_OPEN_STREAMS, seconds=0.5
         )
         running = asyncio.create_task(run_callers(plan, workers=1))
-        await wait_until(self._all_open)
-        grown = self._memory() - before
-        print(f"memory of an open stream: {grown / _OPEN:.1f} KB ({_OPEN} opened)")
+        await wait_until(self._are_all_streams_open)
+        growth = self._memory() - before
+        print(
+            f"memory of an open stream: {growth / _OPEN_STREAMS:.1f} KB "
+            f"({_OPEN_STREAMS} opened)"
+        )
         found = await running
         print(f"  of these whole {found.requests}, failed {found.failed}")
-        return grown / _OPEN
+        return growth / _OPEN_STREAMS
 
-    async def _all_open(self) -> bool:
-        return bool((await self.fleet.status("r1"))["in_flight"] >= _OPEN)
+    async def _are_all_streams_open(self) -> bool:
+        return bool((await self.fleet.status("r1"))["in_flight"] >= _OPEN_STREAMS)
 
 
 if __name__ == "__main__":
--- a/bench/quiet.py
+++ b/bench/quiet.py
@@ -1,6 +1,7 @@
-"""Measure what a fleet of real processes costs while no caller asks anything.
+"""Measure the resource usage of an idle fleet of real processes.
 
-All of it is control: heartbeats, renewals, watches, polls of engines.
+Without callers, all of it is control traffic: heartbeats, lease renewals, watches
+and polling of engines.
 """
 
 import asyncio
@@ -11,21 +12,21 @@
 from bench.overhead import read_cpu_seconds, read_memory_kb
 
 _SETTLE_S = 3.0
-_SPAN_S = 6.0
+_MEASUREMENT_S = 6.0
 _WRITES = ("put", "delete")
 _READS = ("get", "list", "hosts", "watch")
 
 
 @dataclass(frozen=True)
-class Quiet:
-    """What one router of a quiet fleet costs.
+class IdleCost:
+    """Resource usage of one router in an idle fleet.
 
     Parameters
     ----------
     core
-        Share of a core.
+        Processor time as a share of one core.
     reads, writes, watches
-        Calls of the platform a second; watches are among the reads.
+        Platform calls per second; reads include watches.
     """
 
     routers: int
@@ -42,8 +43,8 @@
     return counted
 
 
-async def measure_quiet(routers: int) -> Quiet:
-    """Run a fleet of some routers without callers and return one's cost."""
+async def measure_idle_cost(routers: int) -> IdleCost:
+    """Run a fleet without callers and return the mean usage of one router."""
     domains = tuple(f"domain-{index % 4}" for index in range(routers))
     fleet = LocalFleet(domains=domains)
     try:
@@ -51,22 +52,24 @@
         await fleet.apply()
         await asyncio.sleep(_SETTLE_S)
         pids = [fleet.processes[name].pid for name in fleet.router_names]
-        calls = await _count_calls(fleet)
+        calls_before = await _count_calls(fleet)
         used = sum(read_cpu_seconds(pid) for pid in pids)
-        await asyncio.sleep(_SPAN_S)
+        await asyncio.sleep(_MEASUREMENT_S)
         used = sum(read_cpu_seconds(pid) for pid in pids) - used
-        later = await _count_calls(fleet)
+        calls_after = await _count_calls(fleet)
         memory = sum(read_memory_kb(pid) for pid in pids)
     finally:
         fleet.stop()
 
     def rate(verbs: tuple[str, ...]) -> float:
-        made = sum(later.get(verb, 0) - calls.get(verb, 0) for verb in verbs)
-        return made / routers / _SPAN_S
+        made = sum(
+            calls_after.get(verb, 0) - calls_before.get(verb, 0) for verb in verbs
+        )
+        return made / routers / _MEASUREMENT_S
 
-    return Quiet(
+    return IdleCost(
         routers,
-        used / routers / _SPAN_S,
+        used / routers / _MEASUREMENT_S,
         memory / routers,
         rate(_READS),
         rate(_WRITES),
@@ -75,10 +78,10 @@
 
 
 async def run(sizes: tuple[int, ...] = (2, 4, 8, 16, 24)) -> None:
-    """Print what one router costs in fleets of several sizes."""
+    """Print the usage of one router for idle fleets of several sizes."""
     print("one router of a quiet fleet, three engines declared")
     for size in sizes:
-        found = await measure_quiet(size)
+        found = await measure_idle_cost(size)
         print(
             f"  {found.routers:3} routers: {found.core:.1%} of a core, "
             f"{found.memory_kb / 1024:.0f} MB, platform {found.reads:.1f} reads/s "
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,8 +1,8 @@
-"""What each role of a router costs by size, measured in one process.
+"""Measure the cost of each role of a router by size, in one process.
 
-Each function builds a state of a given size and returns one figure.  Times are
-processor time, best of a few repeats, so that other load on the machine shows
-as little as it can.
+Each function builds a state of a given size and returns one measurement.  Most
+times are the best processor time of several repeats, which reduces the influence
+of other load on the machine.
 """
 
 import asyncio
@@ -36,12 +36,12 @@
 from anvilshift.wire.messages import JSON_TYPE, Address, HttpRequest, Reply
 from anvilshift.wire.server import HttpServer, Responder
 from bench.fleet import take_free_port
-from bench.gauges import MICROS, time_micros, weigh_bytes
+from bench.gauges import MICROS, measure_bytes, time_micros
 
 MODELS = 24
 DOMAINS = 27
 ORGANISATIONS = 270
-_CALLS = 300
+_REPEATED_CALLS = 300
 
 
 def make_member(index: int) -> Member:
@@ -59,15 +59,15 @@
 
 
 def make_roster(size: int) -> Roster:
-    """Return the fleet as one of its routers sees it."""
+    """Return the roster of a fleet as one of its routers keeps it."""
     roster = Roster(lease=5_000.0)
     for index in range(size):
         roster = roster.record(make_member(index), 0.0)
     return roster
 
 
-def hear_everyone(size: int) -> float:
-    """Return microseconds to take in one heartbeat of each other router."""
+def record_heartbeats(size: int) -> float:
+    """Return microseconds to record one heartbeat of every other router."""
     roster = make_roster(size)
 
     def work() -> None:
@@ -96,14 +96,14 @@
 
 
 class _Echo:
-    """Answer a heartbeat with the same."""
+    """Handler that answers a heartbeat with the same heartbeat."""
 
     async def take_beat(self, beat: Heartbeat) -> Heartbeat:
         return beat
 
 
-class _Counter:
-    """Count the bytes that a connection carries, in both directions."""
+class _CountingRelay:
+    """TCP relay that counts the bytes of both directions."""
 
     def __init__(self, to: int) -> None:
         self.counted = 0
@@ -112,10 +112,14 @@
     async def relay(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Join an accepted connection to the one behind it."""
-        there, back = await asyncio.open_connection("127.0.0.1", self._to)
+        """Relay an accepted connection to the upstream port."""
+        upstream_reader, upstream_writer = await asyncio.open_connection(
+            "127.0.0.1", self._to
+        )
         with contextlib.suppress(asyncio.CancelledError):
-            await asyncio.gather(self._copy(reader, back), self._copy(there, writer))
+            await asyncio.gather(
+                self._copy(reader, upstream_writer), self._copy(upstream_reader, writer)
+            )
 
     async def _copy(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -126,49 +130,49 @@
         writer.close()
 
 
-async def _exchange_beats() -> tuple[float, float]:
-    """Return processor microseconds, both ends, and bytes of one exchange."""
-    port, between = take_free_port(), take_free_port()
+async def _exchange_heartbeats() -> tuple[float, float]:
+    """Return processor microseconds of both ends and bytes per heartbeat exchange."""
+    port, relay_port = take_free_port(), take_free_port()
     server = PeerServer(_Echo())  # type: ignore[arg-type]
     await server.start(Address("127.0.0.1", port))
-    counter = _Counter(port)
-    relay = await asyncio.start_server(counter.relay, "127.0.0.1", between)
+    counter = _CountingRelay(port)
+    relay = await asyncio.start_server(counter.relay, "127.0.0.1", relay_port)
     link = GrpcPeerLink()
     beat = make_heartbeat()
-    direct, counted = f"127.0.0.1:{port}", f"127.0.0.1:{between}"
+    direct, counted = f"127.0.0.1:{port}", f"127.0.0.1:{relay_port}"
     await link.beat(direct, beat)
     began = time.process_time()
-    for _ in range(_CALLS):
+    for _ in range(_REPEATED_CALLS):
         await link.beat(direct, beat)
-    spent = (time.process_time() - began) / _CALLS * MICROS
+    spent = (time.process_time() - began) / _REPEATED_CALLS * MICROS
     await link.beat(counted, beat)
     before = counter.counted
-    for _ in range(_CALLS):
+    for _ in range(_REPEATED_CALLS):
         await link.beat(counted, beat)
-    size = (counter.counted - before) / _CALLS
+    size = (counter.counted - before) / _REPEATED_CALLS
     link.close()
     relay.close()
     server.close()
     return spent, size
 
 
-def exchange_beat(size: int) -> float:
-    """Return processor microseconds of one exchange of heartbeats, both ends."""
-    return asyncio.run(_exchange_beats())[0]
+def measure_heartbeat_exchange(size: int) -> float:
+    """Return processor microseconds of both ends for one heartbeat exchange."""
+    return asyncio.run(_exchange_heartbeats())[0]
 
 
-def weigh_beat(size: int) -> float:
-    """Return the bytes of one exchange of heartbeats, without TCP's own."""
-    return asyncio.run(_exchange_beats())[1]
+def measure_heartbeat_bytes(size: int) -> float:
+    """Return the bytes of one heartbeat exchange, without TCP headers."""
+    return asyncio.run(_exchange_heartbeats())[1]
 
 
-def weigh_roster(size: int) -> float:
-    """Return the bytes of memory of the fleet as one router sees it."""
-    return weigh_bytes(lambda: make_roster(size))
+def measure_roster_bytes(size: int) -> float:
+    """Return the memory of the roster of one router in bytes."""
+    return measure_bytes(lambda: make_roster(size))
 
 
 def make_declarations(engines: int, budgets: int = 10) -> list[Declaration]:
-    """Return a whole set of declarations, its engines shared among the models."""
+    """Return a complete set of declarations; the models divide the engines."""
     groups: list[Declaration] = []
     for model in range(MODELS):
         members = tuple(
@@ -191,8 +195,8 @@
     return [*groups, *organisations, *named]
 
 
-def weigh_metrics(size: int) -> float:
-    """Return the bytes of a router's metrics as they are read, by organisations."""
+def measure_metrics_bytes(size: int) -> float:
+    """Return the size of a router's rendered metrics in bytes, by organisations."""
     telemetry = Telemetry()
     for index in range(size):
         name = f"organisation-{index:03}"
@@ -206,18 +210,18 @@
 
 
 def publish_by_budgets(size: int) -> float:
-    """Return microseconds to bring one change into force, by budgets."""
+    """Return microseconds to build the catalogue after a change, by budgets."""
     declarations = make_declarations(100, size)
     return time_micros(lambda: Catalogue.from_declarations(declarations, 1))
 
 
-def weigh_catalogue(size: int) -> float:
-    """Return the bytes of memory of the declarations, by budgets."""
-    return weigh_bytes(lambda: make_declarations(11_000, size))
+def measure_declarations_bytes(size: int) -> float:
+    """Return the memory of the declarations in bytes, by budgets."""
+    return measure_bytes(lambda: make_declarations(11_000, size))
 
 
 def configure_targets(size: int) -> float:
-    """Return microseconds to take in a change where engines are declared."""
+    """Return microseconds to apply a configuration change, by declared engines."""
     catalogue = Catalogue.from_declarations(make_declarations(size), 1)
     targets = Targets(HttpConnector(HttpClient()), MonotonicClock())
     dispatcher = _make_dispatcher(size)
@@ -235,7 +239,7 @@
 
 
 def find_candidates(size: int) -> float:
-    """Return microseconds to find a request's candidates, by engines in all."""
+    """Return microseconds to find a request's candidates, by declared engines."""
     catalogue = Catalogue.from_declarations(make_declarations(size), 1)
     organisation = catalogue.organisations["organisation-001"]
     route = catalogue.routes["model-01"]
@@ -255,7 +259,7 @@
 def place_work(size: int) -> float:
     """Return microseconds from a request's arrival to its end, by engines.
 
-    A model's share of the engines are the request's candidates.
+    The candidates of the request are the engines of one model.
     """
     dispatcher = _make_dispatcher(size)
     candidates = {f"engine-{n:05}": 0 for n in range(0, size, MODELS)}
@@ -263,8 +267,8 @@
     def work() -> None:
         for number in range(10):
             identity = f"r{number}"
-            wish = Work(identity, "o", "c", candidates, 100, 300, deadline=1e6)
-            dispatcher.arrive(wish, 1.0)
+            work_item = Work(identity, "o", "c", candidates, 100, 300, deadline=1e6)
+            dispatcher.arrive(work_item, 1.0)
             dispatcher.first_token(identity, 2.0)
             dispatcher.done(identity, 300, 3.0)
 
@@ -272,7 +276,7 @@
 
 
 def take_reports(size: int) -> float:
-    """Return microseconds to take in one load report of each engine."""
+    """Return microseconds to process one load report of each engine."""
     dispatcher = _make_dispatcher(size)
     names = [f"engine-{n:05}" for n in range(size)]
 
@@ -284,7 +288,7 @@
 
 
 def call_http(size: int) -> float:
-    """Return microseconds of one HTTP call, both ends, after so many warm ones."""
+    """Return microseconds of one HTTP call, both ends, on a warm connection."""
     return asyncio.run(_call_http())
 
 
@@ -298,9 +302,9 @@
     client = HttpClient()
     await client.call(address, "GET", "/load")
     began = time.process_time()
-    for _ in range(_CALLS):
+    for _ in range(_REPEATED_CALLS):
         await client.call(address, "GET", "/load", [JSON_TYPE])
     spent = time.process_time() - began
     client.close()
     await server.close()
-    return spent / _CALLS * MICROS
+    return spent / _REPEATED_CALLS * MICROS
--- a/tests/bench/test_fleet.py
+++ b/tests/bench/test_fleet.py
@@ -2,17 +2,17 @@
 
 from bench.fleet import take_free_port
 
-_DRAWN = 3_000
+_DRAWN_PORTS = 3_000
 
 
 class FreePortTest(unittest.TestCase):
     def test_no_port_is_given_out_twice(self):
-        """Two processes of a fleet were given one port.
+        """Guards against giving one port to two processes of a fleet.
 
-        A fleet draws some twenty ports before its processes listen on them.  Two
-        equal ones passed the look for a listener, the first process took the
-        port, and the second, a router, ended at once: address already in use.
-        Whoever started the fleet waited 20 s for it in vain.
+        A fleet draws about twenty ports before its processes listen on them, so
+        the check for a listener accepts the same port twice.  The second process,
+        a router, then exits (address already in use), and starting the fleet
+        fails after a wait of 20 s.
         """
-        drawn = [take_free_port() for _ in range(_DRAWN)]
-        self.assertEqual(_DRAWN, len(set(drawn)))
+        drawn = [take_free_port() for _ in range(_DRAWN_PORTS)]
+        self.assertEqual(_DRAWN_PORTS, len(set(drawn)))
