--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measure the package: load patterns, comparisons of policies, slopes."""
+"""Benchmarks and soak runs: load patterns, policy comparisons, slopes, faults."""
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -1,8 +1,8 @@
-"""Show that every proof can fail: break the code on purpose and run the soak.
+"""Mutation tests of the soak: inject a fault into the code and expect a failed check.
 
-``make mutants`` prints a row a mutant: what was broken, which check caught it,
-and after how many events.  A mutant that no check catches is a hole in the
-proof, and the command then exits non-zero.
+``make mutants`` prints one row a mutant: what was broken, whether the expected check
+caught it, the seed, and the failed check.  A mutant that no expected check catches
+shows that the checks are incomplete, and the command then exits non-zero.
 """
 
 import contextlib
@@ -38,7 +38,7 @@
 from bench.soak.run import play_course, run_seed
 
 SEEDS = range(1, 7)
-NETWORKS = range(15)
+NETWORK_SEEDS = range(15)
 COURSES = pathlib.Path("tests/bench/courses")
 DRAWN, DRAWN_SECONDS = "drawn", 30.0
 SECONDS = 90.0
@@ -49,15 +49,15 @@
 
 @dataclass(frozen=True)
 class Mutant:
-    """A fault in the code and the check that must catch it.
+    """A fault injected into the code and the checks that must catch it.
 
     Parameters
     ----------
     caught_by
-        Beginnings of the checks that may catch it.
+        Prefixes of the names of the checks that may catch it.
     courses
-        Names of the courses that are played, `drawn` for one that is drawn from the
-        seed; seeds are run where there are none.
+        Names of the recorded courses to play; `drawn` generates one from the seed.
+        Without courses, seeded runs are made.
     """
 
     name: str
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """What became of a mutant."""
+    """Result of a mutant: the seed and the check that caught it."""
 
     name: str
     seed: int
@@ -88,14 +88,14 @@
     return dataclasses.replace(grant, sealed=True, doubt=0)
 
 
-_ATTEMPTS = itertools.count()
+_ATTEMPT_NUMBERS = itertools.count()
 
 
 def _bill_by_attempt(settle: Any) -> Any:
     async def settle_attempt(
         self: Treasury, account: str, key: str, *rest: Any, **named: Any
     ) -> None:
-        attempt = f"{key}-{next(_ATTEMPTS)}"
+        attempt = f"{key}-{next(_ATTEMPT_NUMBERS)}"
         self.release(account, key)
         await self.reserve(account, attempt, rest[1])
         await settle(self, account, attempt, *rest, **named)
@@ -103,7 +103,7 @@
     return settle_attempt
 
 
-async def _drain_at_once(self: Node, abandoned: Any) -> int:
+async def _drain_immediately(self: Node, abandoned: Any) -> int:
     return self.callers.in_flight
 
 
@@ -111,12 +111,12 @@
     return None
 
 
-async def _grant_any_claim(self: Any, identity: str, wish: claims.Claim) -> Any:
-    return wish
+async def _grant_any_claim(self: Any, identity: str, claim: claims.Claim) -> Any:
+    return claim
 
 
 @contextlib.contextmanager
-def _forget_lost_routers() -> Iterator[None]:
+def _ignore_lost_routers() -> Iterator[None]:
     with (
         mock.patch.object(Treasury, "seal", _do_nothing),
         mock.patch.object(Treasury, "sweep", _do_nothing),
@@ -125,17 +125,18 @@
 
 
 @contextlib.contextmanager
-def _forget_crashes() -> Iterator[None]:
+def _ignore_crashes() -> Iterator[None]:
     with (
-        _trust_blame_alone(),
+        _quarantine_by_blame_only(),
         mock.patch.object(Quarantine, "is_quarantined", lambda *_: False),
     ):
         yield
 
 
 @contextlib.contextmanager
-def _send_before_limits() -> Iterator[None]:
-    # Where each content has two engines, too few wait for one to break its limit.
+def _ignore_limits() -> Iterator[None]:
+    # While each content is restricted to two engines, too few requests wait for one
+    # engine to exceed its limit, so that restriction is removed as well.
     with (
         mock.patch.object(Reach, "list_allowed", lambda *_: None),
         mock.patch.object(Dispatcher, "learn_limit", lambda *_: None),
@@ -144,7 +145,7 @@
 
 
 @contextlib.contextmanager
-def _trust_blame_alone() -> Iterator[None]:
+def _quarantine_by_blame_only() -> Iterator[None]:
     with (
         mock.patch.object(Reach, "list_allowed", lambda *_: None),
         mock.patch.object(Exposure, "list_reached", lambda *_: []),
@@ -153,8 +154,8 @@
         yield
 
 
-def _go_on_to_any(self: Reach, work: Work, pool: Pool, now: Millis) -> Any:
-    """Let a content go to any target first, and then to the next in use."""
+def _allow_next_in_use(self: Reach, work: Work, pool: Pool, now: Millis) -> Any:
+    """Allow any target first, then the targets reached and the next one in use."""
     reached = self._state.quarantine.list_reached(work.content)
     if len(reached) >= TARGETS:
         return tuple(reached)
@@ -194,7 +195,7 @@
     Mutant(
         "lost routers are not sealed",
         ("tokens of lost routers",),
-        _forget_lost_routers,
+        _ignore_lost_routers,
     ),
     Mutant(
         "a limit that an engine names is not kept to",
@@ -209,7 +210,7 @@
     Mutant(
         "any claim may be run again",
         ("order runs at most once",),
-        _replace(claims, "judge", lambda found, wish: claims.Verdict.RUN),
+        _replace(claims, "judge", lambda found, claim: claims.Verdict.RUN),
     ),
     Mutant(
         "a removed router serves on",
@@ -224,56 +225,56 @@
     Mutant(
         "a planned stop waits for nothing",
         ("planned stop",),
-        _replace(Node, "drain", _drain_at_once),
+        _replace(Node, "drain", _drain_immediately),
     ),
     Mutant(
         "nothing is quarantined",
         ("poison",),
-        _forget_crashes,
+        _ignore_crashes,
     ),
     Mutant(
         "only blame keeps a content from engines",
         ("poison",),
-        _trust_blame_alone,
+        _quarantine_by_blame_only,
         courses=("41",),
     ),
     Mutant(
         "only blame keeps a content from engines, another suspect",
         ("poison",),
-        _trust_blame_alone,
+        _quarantine_by_blame_only,
         courses=("48",),
     ),
     Mutant(
         "a content goes on to the next engine in use",
         ("poison",),
-        _replace(Reach, "list_allowed", _go_on_to_any),
+        _replace(Reach, "list_allowed", _allow_next_in_use),
         courses=("7030",),
     ),
     Mutant(
         "the same in the first second of a cut",
         ("poison",),
-        _replace(Reach, "list_allowed", _go_on_to_any),
+        _replace(Reach, "list_allowed", _allow_next_in_use),
         courses=("8012",),
     ),
     Mutant(
         "the same where routers know different things",
         ("poison",),
-        _replace(Reach, "list_allowed", _go_on_to_any),
+        _replace(Reach, "list_allowed", _allow_next_in_use),
         courses=(DRAWN,),
     ),
     Mutant(
         "work goes to an engine before its limit is known",
         ("limits are kept",),
-        _send_before_limits,
+        _ignore_limits,
         courses=("9007",),
     ),
 )
 
 
 def try_mutant(mutant: Mutant) -> Row:
-    """Run seeds until a check catches the mutant."""
+    """Run one seed after another until a check catches the mutant."""
     logging.set_verbosity(logging.FATAL)
-    for seed in NETWORKS if mutant.courses else SEEDS:
+    for seed in NETWORK_SEEDS if mutant.courses else SEEDS:
         try:
             with mutant.patch():
                 _run(mutant, seed)
@@ -297,14 +298,14 @@
         play_course(course, seed)
 
 
-def _try_number(number: int) -> Row:
+def _try_mutant_number(number: int) -> Row:
     return try_mutant(MUTANTS[number])
 
 
 def main() -> int:
-    """Try every mutant and print a row each; return the exit code."""
+    """Run every mutant and print one row each; return the exit code."""
     with multiprocessing.Pool(WORKERS) as pool:
-        rows = pool.map(_try_number, range(len(MUTANTS)), chunksize=1)
+        rows = pool.map(_try_mutant_number, range(len(MUTANTS)), chunksize=1)
     for row in rows:
         verdict = "caught" if row.expected else "NOT CAUGHT AS EXPECTED"
         print(f"{row.name:42} {verdict}, seed {row.seed}: {row.caught[:90]}")
--- a/bench/soak/__init__.py
+++ b/bench/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Long randomised runs of the daemon's own logic in virtual time."""
+"""Long randomised fault-injection runs of the router's code in virtual time."""
--- a/bench/soak/books.py
+++ b/bench/soak/books.py
@@ -1,4 +1,4 @@
-"""The checks at a run's end: what callers got against what was billed."""
+"""Checks at the end of a run: billing against answers, and recovery from faults."""
 
 from collections import Counter
 from typing import TYPE_CHECKING
@@ -10,30 +10,34 @@
     from bench.soak.run import Soak
 
 
-def check_books(soak: "Soak") -> None:
-    """Compare what callers received with what was billed."""
+def check_billing(soak: "Soak") -> None:
+    """Check bills against runs at targets, budgets, and the answers callers received.
+
+    An answer without a bill is accepted only if every router that had a copy of the
+    bill may have been lost; its cost must then be covered by the account's doubt.
+    """
     journal = soak.journal
     cost: Counter[str] = Counter()
     unbilled: Counter[str] = Counter()
-    for asked in soak.billed.values():
-        ran = journal.engine_runs[asked.request]
-        ran += journal.service_runs[asked.request]
-        journal.check("nothing billed that did not run", ran > 0, asked.request)
-        cost[asked.organisation] += asked.cost
+    for request in soak.billed.values():
+        runs = journal.engine_runs[request.text]
+        runs += journal.service_runs[request.text]
+        journal.check("nothing billed that did not run", runs > 0, request.text)
+        cost[request.organisation] += request.cost
     for name, tokens in soak.spent.items():
         detail = f"{name} spent {tokens}, its bills cost {cost[name]}"
         journal.check("spent is what was billed", tokens == cost[name], detail)
-        fits = tokens <= soak.topped[name]
+        fits = tokens <= soak.topped_up[name]
         journal.check("bills within the budget", fits, name)
     for receipt in journal.receipts.values():
         if receipt.outcome in ("model, whole", "order, answered"):
-            asked = soak.asked[receipt.request]
-            mark = make_mark(receipt.request)
-            billed = (asked.organisation, mark) in soak.billed
+            request = soak.requests[receipt.identity]
+            mark = make_mark(receipt.identity)
+            billed = (request.organisation, mark) in soak.billed
             if not billed and journal.may_lose_bill(receipt):
-                unbilled[asked.organisation] += asked.cost
+                unbilled[request.organisation] += request.cost
                 continue
-            detail = f"{asked.request} was answered and never billed"
+            detail = f"{request.text} was answered and never billed"
             journal.check("answer is billed", billed, detail)
     for name, tokens in unbilled.items():
         detail = f"{name} has {soak.doubt[name]} in doubt for {tokens}"
@@ -41,25 +45,28 @@
         journal.check("lost bills stay in doubt", covered, detail)
 
 
-def check_fleet(soak: "Soak") -> None:
-    """Check that everything has come back once the faults are over."""
+def check_recovery(soak: "Soak") -> None:
+    """Check that routers, tokens and declarations have recovered from the faults.
+
+    Every caller must have received an outcome as well.
+    """
     journal = soak.journal
     live = tuple(entry.node.incarnation for entry in soak.entries.values())
     for name in soak.store.names(LEDGER_KIND):
         ledger = read_body(soak.store.peek(LEDGER_KIND, name))
         for account in ledger.accounts.values():
             for holder, grant in account.grants.items():
-                back = not grant.held or holder.startswith(live)
-                journal.check("tokens of lost routers come back", back, holder)
+                returned = not grant.held or holder.startswith(live)
+                journal.check("tokens of lost routers come back", returned, holder)
     for entry in soak.entries.values():
         ready = entry.node.is_ready()
-        journal.check("routers are ready again", ready, entry.presence.name)
-        newest = entry.node.gate.catalogue.revision >= soak.accepted
-        journal.check("declarations converge", newest, entry.presence.name)
+        journal.check("routers are ready again", ready, entry.process.name)
+        current = entry.node.gate.catalogue.revision >= soak.accepted
+        journal.check("declarations converge", current, entry.process.name)
         serving = {e.name for e in soak.engines.values() if e.is_serving}
-        unused = sorted(serving & entry.node.departing.leaving)
-        detail = f"{entry.presence.name} takes {unused} for leaving"
-        journal.check("engines that serve are used", not unused, detail)
-    for identity, asked in soak.asked.items():
-        told = identity in journal.receipts
-        journal.check("every caller gets an answer", told, asked.request)
+        avoided = sorted(serving & entry.node.departing.leaving)
+        detail = f"{entry.process.name} takes {avoided} for leaving"
+        journal.check("engines that serve are used", not avoided, detail)
+    for identity, request in soak.requests.items():
+        answered = identity in journal.receipts
+        journal.check("every caller gets an answer", answered, request.text)
--- a/bench/soak/course.py
+++ b/bench/soak/course.py
@@ -1,8 +1,8 @@
-"""The course of a run: what happens from outside, kept apart from the product.
+"""Courses: recorded sequences of the external events of a run.
 
-Faults and arrivals have their instants and their own random numbers, so that a
-course meets any version of the product unchanged.  It is recorded from a seeded run,
-or drawn from a seed of its own, and kept as JSON.
+Each fault or arrival is stored with its time and its random numbers, so that the
+same course can be replayed against any version of the package.  A course is recorded
+from a seeded run, or generated from a seed of its own, and stored as JSON.
 """
 
 import asyncio
@@ -17,65 +17,65 @@
 
 from anvilshift.core.clock import SECOND, Millis
 
-_TAPE: contextvars.ContextVar["Tape | None"] = contextvars.ContextVar(
-    "tape", default=None
+_DRAW_RECORD: contextvars.ContextVar["DrawRecord | None"] = contextvars.ContextVar(
+    "draw_record", default=None
 )
 
 
-class Tape:
-    """The random numbers of one event: recorded, then given again in order.
+class DrawRecord:
+    """Record the random numbers of one event and replay them in order.
 
     Parameters
     ----------
     draws
-        What was drawn before; it is given first.
+        Recorded numbers, which are returned first.
     rng
-        Draws what is asked for beyond that; None for whose numbers are asked for.
+        Generator of further numbers; None to use the generator of the caller.
     """
 
     def __init__(
         self, draws: Sequence[Any] = (), rng: random.Random | None = None
     ) -> None:
         self.drawn: list[Any] = []
-        self._left = deque(draws)
+        self._recorded = deque(draws)
         self._rng = rng
 
-    def draw(self, asked: random.Random, name: str, *rest: Any) -> Any:
-        """Return the next number."""
-        if self._left:
-            value = self._left.popleft()
+    def draw(self, default_rng: random.Random, name: str, *args: Any) -> Any:
+        """Return the next recorded number, or draw a new one by the named method."""
+        if self._recorded:
+            value = self._recorded.popleft()
         else:
-            value = getattr(self._rng or asked, name)(*rest)
+            value = getattr(self._rng or default_rng, name)(*args)
         self.drawn.append(value)
         return value
 
     async def run(self, work: Awaitable[Any]) -> None:
-        """Let work, and what it starts, draw from this tape."""
-        _TAPE.set(self)
+        """Run an awaitable; it and the tasks it starts draw from this record."""
+        _DRAW_RECORD.set(self)
         await work
 
 
-class TapedRandom:
-    """Random numbers, by the tape of the event that asks if it has one."""
+class ReplayableRandom:
+    """A random generator that uses the draw record of the current event, if any."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
 
     def __getattr__(self, name: str) -> Callable[..., Any]:
-        """Return a method of `random.Random`."""
+        """Return a method of `random.Random` that goes through the draw record."""
 
-        def draw(*rest: Any) -> Any:
-            tape = _TAPE.get()
-            if tape is None:
-                return getattr(self._rng, name)(*rest)
-            return tape.draw(self._rng, name, *rest)
+        def draw(*args: Any) -> Any:
+            record = _DRAW_RECORD.get()
+            if record is None:
+                return getattr(self._rng, name)(*args)
+            return record.draw(self._rng, name, *args)
 
         return draw
 
 
 @dataclass
 class Event:
-    """One arrival or fault."""
+    """One arrival or fault, with its time, arguments and random numbers."""
 
     at: Millis
     kind: str
@@ -85,14 +85,14 @@
 
 @dataclass
 class Course:
-    """The events of a run in their order.
+    """The events of a run in order of time.
 
     Parameters
     ----------
     seed
-        Names the random numbers that the events don't bring along.
+        Seed of the random numbers that are not recorded with the events.
     source
-        Where the course comes from.
+        Description of how the course was made.
     """
 
     seed: int
@@ -100,34 +100,34 @@
     source: str = ""
     events: list[Event] = field(default_factory=list)
 
-    def note(self, event: Event) -> Tape:
-        """Record an event as it begins; return the tape that it draws from."""
+    def record(self, event: Event) -> DrawRecord:
+        """Append an event as it starts; return the record that it draws from."""
         self.events.append(event)
-        tape = Tape()
-        event.draws = tape.drawn
-        return tape
+        record = DrawRecord()
+        event.draws = record.drawn
+        return record
 
     async def play(
         self,
         now: Callable[[], Millis],
-        start: Callable[[Event, Tape], None],
+        start: Callable[[Event, DrawRecord], None],
     ) -> None:
-        """Start each event at its instant."""
+        """Start each event at its time."""
         for number, event in enumerate(self.events):
             await asyncio.sleep(max(0.0, event.at - now()) / SECOND)
             rng = random.Random(f"{self.seed}/{number}/{event.kind}")
-            start(event, Tape(event.draws, rng))
+            start(event, DrawRecord(event.draws, rng))
 
     def save(self, path: pathlib.Path) -> None:
-        """Write the course as JSON."""
+        """Write the course as JSON lines: a header, then one event a line."""
         path.parent.mkdir(parents=True, exist_ok=True)
         rows = [json.dumps(asdict(event)) for event in self.events]
-        head = {"seed": self.seed, "seconds": self.seconds, "source": self.source}
-        path.write_text("\n".join([json.dumps(head), *rows]) + "\n")
+        header = {"seed": self.seed, "seconds": self.seconds, "source": self.source}
+        path.write_text("\n".join([json.dumps(header), *rows]) + "\n")
 
     @classmethod
     def load(cls, path: pathlib.Path) -> "Course":
-        """Read a course."""
-        head, *rows = path.read_text().splitlines()
+        """Read a course that `save` wrote."""
+        header, *rows = path.read_text().splitlines()
         events = [Event(**json.loads(row)) for row in rows]
-        return cls(**json.loads(head), events=events)
+        return cls(**json.loads(header), events=events)
--- a/bench/soak/http.py
+++ b/bench/soak/http.py
@@ -1,4 +1,4 @@
-"""The callers' way to the nodes: an HTTP client without sockets."""
+"""An in-process HTTP client through which callers reach the nodes."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -20,7 +20,7 @@
 )
 from anvilshift.wire.server import render_error
 from bench.soak.journal import Journal
-from bench.soak.network import Network, Presence
+from bench.soak.network import Network, NodeProcess
 
 
 @dataclass(frozen=True)
@@ -31,49 +31,49 @@
 
 _END = b""
 _Item = _Head | bytes | None
-"""A head, a piece of body, the empty end, or None for a broken connection."""
+"""A head, a chunk of the body, `_END` after the last, or None if the link broke."""
 
 
 class SoakResponder:
-    """Write an answer into the caller's queue."""
+    """Server side of an exchange: write the answer into the caller's queue."""
 
-    def __init__(self, own: Presence) -> None:
+    def __init__(self, process: NodeProcess) -> None:
         self.started = False
         self.finished = False
         self.queue: asyncio.Queue[_Item] = asyncio.Queue()
-        self._own = own
+        self._process = process
 
     async def send(self, reply: Reply) -> None:
-        """Write a whole answer."""
+        """Write a complete answer."""
         await self.start(reply.status, reply.headers)
         await self.finish(reply.body)
 
     async def start(self, status: int, headers: Fields, hold: bool = False) -> None:
-        """Write the head."""
+        """Write the status and the headers."""
         self.started = True
-        await self._own.pass_through()
+        await self._process.wait_running()
         self.queue.put_nowait(_Head(status, Headers(headers)))
 
     async def write(self, data: bytes) -> None:
-        """Write a piece of the body."""
-        await self._own.pass_through()
+        """Write a chunk of the body."""
+        await self._process.wait_running()
         if data:
             self.queue.put_nowait(data)
 
     async def finish(self, data: bytes = b"") -> None:
-        """End the body, with its last piece where there is one."""
+        """End the body, after an optional last chunk."""
         self.finished = True
         await self.write(data)
-        await self._own.pass_through()
+        await self._process.wait_running()
         self.queue.put_nowait(_END)
 
     def abort(self) -> None:
-        """Cut the connection."""
+        """Break the connection."""
         self.queue.put_nowait(None)
 
 
 class SoakResponse:
-    """An answer that is still arriving."""
+    """Caller's side of an exchange: an answer whose body is still arriving."""
 
     def __init__(self, head: _Head, queue: "asyncio.Queue[_Item]") -> None:
         self.status = head.status
@@ -82,7 +82,7 @@
         self._queue = queue
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body piece by piece."""
+        """Yield the chunks of the body as they arrive."""
         while True:
             item = await self._queue.get()
             if item is None or isinstance(item, _Head):
@@ -99,14 +99,14 @@
 
 @dataclass
 class Entry:
-    """A node that callers can connect to."""
+    """A node that callers can connect to, with its process and open connections."""
 
     node: Node
-    presence: Presence
+    process: NodeProcess
     open: list["asyncio.Queue[_Item]"] = field(default_factory=list)
 
     def break_connections(self) -> None:
-        """Break every open connection, as a killed process does."""
+        """Break every open connection, as happens when a process is killed."""
         for queue in self.open:
             queue.put_nowait(None)
 
@@ -129,7 +129,7 @@
     async def _serve(
         self, entry: Entry, request: HttpRequest, responder: SoakResponder
     ) -> None:
-        await entry.presence.pass_through()
+        await entry.process.wait_running()
         accepted = self._accepted()
         revision = entry.node.gate.catalogue.revision
         served = True
@@ -144,7 +144,7 @@
         except ConnectionError:
             responder.abort()
         if served:
-            detail = f"{entry.presence.name} served {revision}, accepted {accepted}"
+            detail = f"{entry.process.name} served {revision}, accepted {accepted}"
             self._journal.check(
                 "accepted configuration is in force", revision >= accepted, detail
             )
@@ -159,23 +159,23 @@
         body: bytes = b"",
         timeout: Millis | None = None,
     ) -> AsyncIterator[SoakResponse]:
-        """Send a request and give its answer once the head has arrived."""
+        """Send a request and yield its answer once the head has arrived."""
         entry = self._entries.get(str(address))
-        await self._network.travel()
-        if entry is None or entry.presence.dead:
+        await self._network.wait_transit()
+        if entry is None or entry.process.dead:
             raise ExchangeError("connection refused", False)
         request = HttpRequest(method, path, Headers(headers or []), body)
-        responder = SoakResponder(entry.presence)
+        responder = SoakResponder(entry.process)
         entry.open.append(responder.queue)
         serving = asyncio.create_task(self._serve(entry, request, responder))
-        serving.add_done_callback(self._raise_broken)
+        serving.add_done_callback(self._report_error)
         response: SoakResponse | None = None
         try:
             response = await self._receive_head(responder, timeout)
             yield response
         finally:
             entry.open.remove(responder.queue)
-            if not serving.done() and not entry.presence.dead:
+            if not serving.done() and not entry.process.dead:
                 serving.cancel()
 
     async def _receive_head(
@@ -190,7 +190,7 @@
             raise ExchangeError("the connection broke", True)
         return SoakResponse(head, responder.queue)
 
-    def _raise_broken(self, task: "asyncio.Task[Any]") -> None:
+    def _report_error(self, task: "asyncio.Task[Any]") -> None:
         if not task.cancelled() and task.exception() is not None:
             loop = asyncio.get_running_loop()
             loop.call_exception_handler(
@@ -206,7 +206,7 @@
         body: bytes = b"",
         timeout: Millis | None = None,
     ) -> HttpAnswer:
-        """Send a request and return its whole answer."""
+        """Send a request and return its complete answer."""
         try:
             async with (
                 asyncio.timeout(timeout / SECOND if timeout else None),
@@ -218,4 +218,4 @@
             raise ExchangeError("no answer in time", True) from error
 
     def close(self) -> None:
-        """Close nothing."""
+        """Do nothing: there are no sockets to close."""
--- a/bench/soak/journal.py
+++ b/bench/soak/journal.py
@@ -1,4 +1,4 @@
-"""The run's independent ledger: what ran, what callers got, what was checked."""
+"""Record of a run, independent of the routers: executions, outcomes and checks."""
 
 from collections import Counter, defaultdict
 from collections.abc import Callable
@@ -7,22 +7,23 @@
 from anvilshift.core.clock import SECOND, Millis
 
 LEAVING_LIMIT: Millis = 3 * SECOND
-"""A leaving engine gets no new work this long after the first sign."""
+"""Time after the first notice from which a leaving engine must get no new work."""
 POISON_LIMIT = 2
-COPIES_LOST = 3
+MIN_LOSSES = 3
+"""Router losses from which every copy of a bill may be gone; see `may_lose_bill`."""
 LOSS_SPAN: Millis = 60 * SECOND
-"""Longer than an outage of the platform lasts in a run, with its recovery."""
+"""Longer than an outage of the platform in a run, including the recovery."""
 
 
 class BrokenInvariantError(AssertionError):
-    """An invariant did not hold; the message names it first."""
+    """An invariant did not hold; the message begins with its name."""
 
 
 @dataclass
 class Receipt:
-    """What one caller got in the end."""
+    """The final outcome that one caller received."""
 
-    request: str
+    identity: str
     organisation: str
     outcome: str
     at: Millis = 0.0
@@ -30,7 +31,7 @@
 
 @dataclass
 class Journal:
-    """Counts and records, kept apart from everything the routers keep."""
+    """Counts and records of a run, kept apart from the state of the routers."""
 
     now: Callable[[], Millis]
     checks: Counter[str] = field(default_factory=Counter)
@@ -38,17 +39,19 @@
     outcomes: Counter[str] = field(default_factory=Counter)
     engine_runs: Counter[str] = field(default_factory=Counter)
     service_runs: Counter[str] = field(default_factory=Counter)
-    poison: dict[str, list[str]] = field(default_factory=lambda: defaultdict(list))
+    crashed_engines: dict[str, list[str]] = field(
+        default_factory=lambda: defaultdict(list)
+    )
     receipts: dict[str, Receipt] = field(default_factory=dict)
-    losses: list[Millis] = field(default_factory=list)
+    router_losses: list[Millis] = field(default_factory=list)
     events: int = 0
     fail: Callable[[BaseException], None] = lambda error: None
 
     def check(self, invariant: str, held: bool, detail: str = "") -> None:
         """Count a check; end the run when the invariant did not hold.
 
-        The error is told apart from raising it, because the code under test
-        may catch what is raised through it.
+        The error is passed to `fail` as well as raised, because the code under test
+        may catch an exception that is raised through it.
         """
         self.checks[invariant] += 1
         if not held:
@@ -56,49 +59,53 @@
             self.fail(error)
             raise error
 
-    def engine_ran(self, name: str, prompt: str, leaving: Millis | None) -> None:
-        """Record that an engine began to run a prompt."""
+    def record_engine_run(self, name: str, prompt: str, leaving: Millis | None) -> None:
+        """Record that an engine started a prompt; check that it wasn't leaving."""
         self.events += 1
         self.engine_runs[prompt] += 1
         if leaving is not None:
-            late = self.now() - leaving
-            detail = f"{name} got work {late:.0f} ms after the first sign"
-            self.check("leaving engine gets no work", late <= LEAVING_LIMIT, detail)
-
-    def poisoned(self, prompt: str, engine: str) -> None:
-        """Record that a prompt crashed an engine."""
-        self.poison[prompt].append(engine)
-        lost = len(set(self.poison[prompt]))
-        detail = f"{prompt} crashed {lost} engines: {self.poison[prompt]}"
-        self.check("poison costs at most two engines", lost <= POISON_LIMIT, detail)
-
-    def service_ran(self, order: str) -> int:
-        """Record that a service ran an order; return how often it has."""
+            delay = self.now() - leaving
+            detail = f"{name} got work {delay:.0f} ms after the first sign"
+            self.check("leaving engine gets no work", delay <= LEAVING_LIMIT, detail)
+
+    def record_poison_crash(self, prompt: str, engine: str) -> None:
+        """Record that a prompt crashed an engine; check how many it has crashed."""
+        self.crashed_engines[prompt].append(engine)
+        crashed = len(set(self.crashed_engines[prompt]))
+        detail = f"{prompt} crashed {crashed} engines: {self.crashed_engines[prompt]}"
+        self.check("poison costs at most two engines", crashed <= POISON_LIMIT, detail)
+
+    def record_service_run(self, order: str) -> int:
+        """Record that a service ran an order; return how often it has run it."""
         self.events += 1
         self.service_runs[order] += 1
         count = self.service_runs[order]
         self.check("order runs at most once", count == 1, f"{order} ran {count} times")
         return count
 
-    def received(self, receipt: Receipt) -> None:
-        """Record what a caller got in the end."""
+    def record_receipt(self, receipt: Receipt) -> None:
+        """Record the final outcome that a caller received."""
         self.events += 1
         receipt.at = self.now()
         self.outcomes[receipt.outcome] += 1
-        self.receipts[receipt.request] = receipt
+        self.receipts[receipt.identity] = receipt
 
     def may_lose_bill(self, receipt: Receipt) -> bool:
-        """Tell whether a bill may have died with every router that had a copy.
+        """Tell whether every router that had a copy of a bill may have been lost.
 
-        In an outage a released bill is with its holder, a witness and two
-        spare keepers.  With four routers that is all of them, and each that
-        ends takes its copy along; below three losses a copy is left.
+        During an outage, copies of a released bill are at its holder, at a witness
+        and at two spare keepers.  With four routers that is all of them, and each
+        router that ends loses its copy; below three losses a copy is left.
         """
-        near = [at for at in self.losses if receipt.at <= at <= receipt.at + LOSS_SPAN]
-        return len(near) >= COPIES_LOST
-
-    def show(self) -> str:
-        """Return the counts as text."""
+        losses = [
+            at
+            for at in self.router_losses
+            if receipt.at <= at <= receipt.at + LOSS_SPAN
+        ]
+        return len(losses) >= MIN_LOSSES
+
+    def format_counts(self) -> str:
+        """Return the counts as text, one a line."""
         lines = [f"events {self.events}"]
         for title, counts in (
             ("faults", self.faults),
--- a/bench/soak/limits.py
+++ b/bench/soak/limits.py
@@ -1,4 +1,4 @@
-"""Limits that engines name, and what they got while they did."""
+"""Rate limits that engines report, and checks that routers keep to them."""
 
 import asyncio
 import random
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from anvilshift.core.clock import SECOND, Millis
-from bench.soak.course import Event, TapedRandom
+from bench.soak.course import Event, ReplayableRandom
 
 if TYPE_CHECKING:
     from bench.soak.run import Soak
@@ -15,86 +15,88 @@
 LIMIT_ONE = "limit_one"
 SPAN: Millis = 4 * SECOND
 STABLE: Millis = 3 * SECOND
-"""After the naming the bound holds; a router that was cut or paused counts again."""
+"""Time for routers to settle: the check counts neither the requests that arrive
+sooner after a lower limit, nor those of routers that started or resumed since."""
 _GAP_S = 12.0
-_LEAST_RATE, _MOST_RATE = 0.2, 5.0
+_MIN_RATE, _MAX_RATE = 0.2, 5.0
 _SLOW = 8.0
 
 
 @dataclass
 class LimitWatch:
-    """One engine's limit, and the requests that reached it.
+    """One engine's rate limit, and the times at which requests reached it.
 
     Attributes
     ----------
-    since
-        When it named a limit first, or one that is lower.
-    first
-        When it began to name limits.
+    lowered_at
+        When the engine last reported a first limit or a lower one.
+    first_reported_at
+        When the engine last began to report limits.
     """
 
     rate: float | None = None
-    since: Millis = 0.0
-    first: Millis = 0.0
+    lowered_at: Millis = 0.0
+    first_reported_at: Millis = 0.0
     arrivals: deque[Millis] = field(default_factory=deque)
 
-    def name(self, rate: float | None, now: Millis) -> None:
-        """Name another limit from now on; None for none."""
+    def set_rate(self, rate: float | None, now: Millis) -> None:
+        """Set the limit that the engine reports from now on; None for no limit."""
         lower = rate is not None and (self.rate is None or rate < self.rate)
         if rate is not None and self.rate is None:
-            self.first = now
+            self.first_reported_at = now
         self.rate = rate
         if lower:
-            self.since = now
+            self.lowered_at = now
 
-    def arrive(self, now: Millis) -> int | None:
-        """Count a request; return how many the last span holds, where it matters.
+    def count_arrival(self, now: Millis) -> int | None:
+        """Count a request; return the count within `SPAN`, or None if unlimited.
 
-        What came before the engine named any limit was sent by routers that it could
-        not have told.
+        The result is None as well until `STABLE` has passed since the limit was
+        lowered.  Requests from before the first limit aren't included, since the
+        routers that sent them couldn't know of it.
         """
         self.arrivals.append(now)
         while now - self.arrivals[0] > SPAN:
             self.arrivals.popleft()
-        if self.rate is None or now - self.since < STABLE:
+        if self.rate is None or now - self.lowered_at < STABLE:
             return None
-        return sum(at >= self.first for at in self.arrivals)
+        return sum(at >= self.first_reported_at for at in self.arrivals)
 
     def find_allowed(self) -> float:
-        """Return the most requests that the users' rule allows in a span."""
+        """Return the most requests within `SPAN` that the documented rule allows."""
         return 1.5 * (self.rate or 0.0) * SPAN / SECOND + 5
 
 
 class LimitFaults:
-    """Let engines name limits now and then, whatever else goes wrong."""
+    """Make engines report rate limits at random times, alongside other faults."""
 
     def __init__(self, soak: "Soak", rng: random.Random) -> None:
         self._soak = soak
-        self._rng: Any = TapedRandom(rng)
+        self._rng: Any = ReplayableRandom(rng)
 
     async def run(self) -> None:
-        """Name limits until cancelled."""
+        """Start and record limits, one engine at a time, until cancelled."""
         while True:
             await asyncio.sleep(self._rng.expovariate(1 / _GAP_S))
             event = Event(self._soak.clock.now(), LIMIT_ONE)
-            tape = self._soak.course.note(event)
-            await asyncio.ensure_future(tape.run(self.limit_one()))
+            record = self._soak.course.record(event)
+            await asyncio.ensure_future(record.run(self.limit_one()))
 
     async def limit_one(self) -> None:
-        """Let one engine name a limit, change it and end it."""
+        """Make one engine report a limit, change it up to twice, and end it."""
         soak, rng = self._soak, self._rng
         engine = soak.engines[rng.choice(sorted(soak.engines))]
         soak.journal.faults["name_limit"] += 1
         if rng.random() < 0.5:
-            # All work is drawn to the engine in need.
+            # Slower engines elsewhere direct the load to the limited engine.
             for other in soak.engines.values():
                 other.slow = 1.0 if other is engine else _SLOW
         try:
             for _ in range(rng.randint(1, 3)):
-                rate = rng.uniform(_LEAST_RATE, _MOST_RATE)
-                engine.limit.name(rate, soak.clock.now())
+                rate = rng.uniform(_MIN_RATE, _MAX_RATE)
+                engine.limit.set_rate(rate, soak.clock.now())
                 await asyncio.sleep(rng.uniform(4.0, 12.0))
         finally:
-            engine.limit.name(None, soak.clock.now())
+            engine.limit.set_rate(None, soak.clock.now())
             for other in soak.engines.values():
                 other.slow = 1.0
--- a/bench/soak/network.py
+++ b/bench/soak/network.py
@@ -1,7 +1,8 @@
-"""The fakes at a node's interfaces: who reaches whom, how late, who is frozen.
+"""Fakes of a node's interfaces, with delays, disconnections and paused processes.
 
-A killed node never gets an answer and never sends again; a frozen one is held
-at its next send or receive, which is where a paused process does harm.
+A killed node never receives an answer and never sends again.  A frozen node blocks
+at its next send or receive, since a paused process affects others only through its
+messages.
 """
 
 import asyncio
@@ -30,13 +31,13 @@
 from bench.soak.limits import STABLE, LimitWatch
 
 _TIMEOUT: Millis = 1 * SECOND
-_DECODE: Millis = 10.0
-_REBOOT: Millis = 15 * SECOND
+_DECODE_TIME: Millis = 10.0
+_RESTART_DELAY: Millis = 15 * SECOND
 
 
 @dataclass
-class Presence:
-    """One incarnation of a node as the network sees it."""
+class NodeProcess:
+    """The process of one incarnation of a node: running, frozen or dead."""
 
     name: str
     dead: bool = False
@@ -45,74 +46,74 @@
     def __post_init__(self) -> None:
         self.running.set()
 
-    async def pass_through(self) -> None:
-        """Hold a frozen node here; hold a dead one for ever."""
+    async def wait_running(self) -> None:
+        """Wait while the process is frozen; never return if it is dead."""
         await self.running.wait()
         if self.dead:
             await asyncio.get_running_loop().create_future()
 
 
 class Network:
-    """Delays, cuts and presences."""
+    """A simulated network: message delays, dropped links and node processes."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.presences: dict[str, Presence] = {}
+        self.processes: dict[str, NodeProcess] = {}
         self.handlers: dict[str, Any] = {}
         self.cuts: set[tuple[str, str]] = set()
-        self.disturbed: dict[str, Millis] = {}
+        self.started_at: dict[str, Millis] = {}
         self.slow: Millis = 0.0
 
-    def note_disturbed(self, name: str, now: Millis) -> None:
-        """Take in that a router starts, or goes on after a pause."""
-        self.disturbed[name] = now
+    def record_start(self, name: str, now: Millis) -> None:
+        """Record that a router started, or resumed after a pause."""
+        self.started_at[name] = now
 
-    def is_calm(self, name: str, now: Millis) -> bool:
-        """Tell whether a router has run for a while."""
-        return now - self.disturbed.get(name, float("-inf")) > STABLE
+    def is_settled(self, name: str, now: Millis) -> bool:
+        """Tell whether a router has run for longer than `STABLE` without a pause."""
+        return now - self.started_at.get(name, float("-inf")) > STABLE
 
-    async def travel(self) -> None:
-        """Wait as long as a message takes."""
+    async def wait_transit(self) -> None:
+        """Wait for the delay of one message."""
         await asyncio.sleep((self.rng.uniform(0.5, 3.0) + self.slow) / SECOND)
 
-    def reaches(self, source: str, goal: str) -> bool:
-        """Tell whether messages pass from one place to another."""
-        return (source, goal) not in self.cuts
+    def is_connected(self, source: str, destination: str) -> bool:
+        """Tell whether messages from a source reach a destination."""
+        return (source, destination) not in self.cuts
 
-    async def deliver(self, source: str, goal: str) -> bool:
-        """Carry one message; False when it never arrives."""
-        await self.travel()
-        return self.reaches(source, goal)
+    async def deliver(self, source: str, destination: str) -> bool:
+        """Wait for a message's delay; return False when the message is dropped."""
+        await self.wait_transit()
+        return self.is_connected(source, destination)
 
 
 class SoakLink:
-    """Calls from one node to the others."""
+    """The peer link of one node: its calls to the other nodes."""
 
-    def __init__(self, network: Network, presence: Presence) -> None:
+    def __init__(self, network: Network, process: NodeProcess) -> None:
         self._network = network
-        self._own = presence
+        self._process = process
 
     async def _call(self, address: str, method: str, message: Any) -> Any:
-        await self._own.pass_through()
+        await self._process.wait_running()
         try:
             async with asyncio.timeout(_TIMEOUT / SECOND):
                 reply = await self._exchange(address, method, message)
         except TimeoutError as error:
             raise PeerError("no answer") from error
-        await self._own.pass_through()
+        await self._process.wait_running()
         return reply
 
     async def _exchange(self, address: str, method: str, message: Any) -> Any:
         network = self._network
-        goal = network.presences.get(address)
-        if goal is None or goal.dead:
+        destination = network.processes.get(address)
+        if destination is None or destination.dead:
             raise PeerError("connection refused")
-        if not await network.deliver(self._own.name, goal.name):
+        if not await network.deliver(self._process.name, destination.name):
             await asyncio.sleep(_TIMEOUT / SECOND)
-        await goal.pass_through()
+        await destination.wait_running()
         reply = await getattr(network.handlers[address], method)(message)
-        await goal.pass_through()
-        if not await network.deliver(goal.name, self._own.name):
+        await destination.wait_running()
+        if not await network.deliver(destination.name, self._process.name):
             await asyncio.sleep(_TIMEOUT / SECOND)
         return reply
 
@@ -122,17 +123,17 @@
         return reply
 
     async def keep(self, address: str, request: KeepRequest) -> KeepReply:
-        """Leave copies of bills."""
+        """Store copies of bills at another router."""
         reply: KeepReply = await self._call(address, "take_copies", request)
         return reply
 
     async def give_back(self, address: str, request: GiveBackRequest) -> GiveBackReply:
-        """Ask for unused tokens."""
+        """Ask a router to give unused tokens back."""
         reply: GiveBackReply = await self._call(address, "take_give_back", request)
         return reply
 
     def __getattr__(self, name: str) -> Callable[..., Any]:
-        """Carry any later call of the link: `x` becomes the handler's `take_x`."""
+        """Return any other call of the link: `x` calls the handler's `take_x`."""
         if name.startswith("_"):
             raise AttributeError(name)
 
@@ -142,11 +143,11 @@
         return call
 
     def close(self) -> None:
-        """Close nothing."""
+        """Do nothing: there are no sockets to close."""
 
 
 class SoakEngine:
-    """A model engine that every node shares; it crashes on poison."""
+    """A model engine, shared by all nodes, that crashes on a poison prompt."""
 
     def __init__(self, name: str, journal: Journal, network: Network) -> None:
         self.name = name
@@ -168,68 +169,73 @@
         return self.up and self.leaving_since is None
 
     def crash(self) -> None:
-        """Go down, and come up again after a while."""
+        """Go down, and restart after `_RESTART_DELAY`."""
         self.up = False
         self.crashes += 1
         loop = asyncio.get_running_loop()
-        loop.call_later(_REBOOT / SECOND, self._boot)
+        loop.call_later(_RESTART_DELAY / SECOND, self._restart)
 
-    def _boot(self) -> None:
+    def _restart(self) -> None:
         self.up = True
 
     async def run(self, source: str, call: ModelCall) -> AsyncIterator[list[Piece]]:
-        """Yield an answer's pieces as the engine makes them."""
+        """Yield the pieces of an answer as the engine generates them."""
         prompt = read_prompt(call.body)
-        self._journal.engine_ran(self.name, prompt, self.leaving_since)
-        self._count(source)
+        self._journal.record_engine_run(self.name, prompt, self.leaving_since)
+        self._check_limit(source)
         if POISON in prompt:
-            self._journal.poisoned(prompt, self.name)
+            self._journal.record_poison_crash(prompt, self.name)
             self.crash()
         limit = int(call.body["max_tokens"])
         self.running += 1
         try:
             for position in range(len(call.received.split()), limit):
-                await asyncio.sleep(_DECODE * self.slow / SECOND)
-                self._check(source, call)
+                await asyncio.sleep(_DECODE_TIME * self.slow / SECOND)
+                self._check_stream(source, call)
                 yield [Piece(make_token(prompt, position))]
             usage = Usage(len(prompt) // 4 + 1, limit)
             yield [Piece("", 0, "stop", usage)]
         finally:
             self.running -= 1
 
-    def _count(self, source: str) -> None:
-        """Hold routers in touch to the limit that this engine names."""
+    def _check_limit(self, source: str) -> None:
+        """Check that routers keep to this engine's limit.
+
+        Requests of routers that started or resumed lately aren't counted.
+        """
         now = self._journal.now()
-        if not self._network.is_calm(source, now):
+        if not self._network.is_settled(source, now):
             return
-        count = self.limit.arrive(now)
+        count = self.limit.count_arrival(now)
         if count is not None:
             detail = f"{self.name} named {self.limit.rate:.2f} a second, got {count}"
             kept = count <= self.limit.find_allowed()
             self._journal.check("limits are kept", kept, detail)
 
-    def _check(self, source: str, call: ModelCall) -> None:
+    def _check_stream(self, source: str, call: ModelCall) -> None:
         broken = self._network.rng.random() < self.fail_streams
-        cut = not self._network.reaches(self.name, source)
+        cut = not self._network.is_connected(self.name, source)
         if not self.up or broken or cut or call.attempt in self._stopped:
             raise TargetError(Failure.BROKE_OFF, "the stream broke off")
 
     def stop(self, attempt: str) -> None:
-        """Stop an attempt."""
+        """Break the stream of an attempt at its next token."""
         self._stopped.add(attempt)
 
 
 class SoakEngineAdapter:
-    """An engine as one node reaches it."""
+    """The adapter through which one node reaches an engine."""
 
-    def __init__(self, engine: SoakEngine, own: Presence, network: Network) -> None:
+    def __init__(
+        self, engine: SoakEngine, process: NodeProcess, network: Network
+    ) -> None:
         self._engine = engine
-        self._own = own
+        self._process = process
         self._network = network
 
     async def _reach(self) -> None:
-        await self._own.pass_through()
-        arrived = await self._network.deliver(self._own.name, self._engine.name)
+        await self._process.wait_running()
+        arrived = await self._network.deliver(self._process.name, self._engine.name)
         if not arrived or not self._engine.up:
             raise TargetError(Failure.NOT_SENT, "connection refused")
 
@@ -237,9 +243,9 @@
     async def generate(
         self, call: ModelCall, timeout: Millis
     ) -> AsyncIterator[AsyncIterator[list[Piece]]]:
-        """Begin an answer."""
+        """Start an answer and yield the iterator of its pieces."""
         await self._reach()
-        pieces = self._engine.run(self._own.name, call)
+        pieces = self._engine.run(self._process.name, call)
         try:
             yield self._receive(pieces)
         finally:
@@ -249,16 +255,16 @@
         self, pieces: AsyncIterator[list[Piece]]
     ) -> AsyncIterator[list[Piece]]:
         async for batch in pieces:
-            await self._own.pass_through()
+            await self._process.wait_running()
             yield batch
 
     async def cancel(self, attempt: str) -> None:
-        """Stop an attempt."""
+        """Ask the engine to stop an attempt."""
         await self._reach()
         self._engine.stop(attempt)
 
     async def load(self) -> LoadReport:
-        """Return a load report."""
+        """Return the engine's load report, with its limit."""
         await self._reach()
         engine = self._engine
         return LoadReport(
@@ -266,21 +272,21 @@
         )
 
     async def cache_events(self, after: int) -> tuple[CacheEvent, ...]:
-        """Return what this router may hear of the engine's cache."""
-        events = self._engine.cache.get(self._own.name, [])
+        """Return the cache events that the engine has for this router alone."""
+        events = self._engine.cache.get(self._process.name, [])
         return tuple(event for event in events if event.sequence > after)
 
     async def give(self, order: Order) -> bool:
-        """Take any order."""
+        """Accept any order."""
         return True
 
     async def state(self) -> dict[str, Any]:
-        """Return nothing."""
+        """Return an empty state."""
         return {}
 
 
 class SoakService:
-    """A plain service that every node shares."""
+    """A plain service, shared by all nodes, that counts how often orders run."""
 
     def __init__(self, name: str, journal: Journal) -> None:
         self.name = name
@@ -288,56 +294,60 @@
         self._journal = journal
 
     def run(self, body: bytes) -> HttpAnswer:
-        """Run an order."""
-        count = self._journal.service_ran(body.decode())
-        kind = Headers([("content-type", "application/json")])
-        return HttpAnswer(201, kind, f'{{"ran":{count}}}'.encode())
+        """Run an order and return how often it has run."""
+        count = self._journal.record_service_run(body.decode())
+        headers = Headers([("content-type", "application/json")])
+        return HttpAnswer(201, headers, f'{{"ran":{count}}}'.encode())
 
 
 class SoakServiceAdapter:
-    """A plain service as one node reaches it."""
+    """The adapter through which one node reaches a plain service."""
 
-    def __init__(self, service: SoakService, own: Presence, network: Network) -> None:
+    def __init__(
+        self, service: SoakService, process: NodeProcess, network: Network
+    ) -> None:
         self._service = service
-        self._own = own
+        self._process = process
         self._network = network
 
     async def call(
         self, method: str, path: str, headers: Fields, body: bytes, timeout: Millis
     ) -> HttpAnswer:
-        """Pass a call through."""
-        await self._own.pass_through()
+        """Forward a call; its answer may be lost after the order has run."""
+        await self._process.wait_running()
         network = self._network
-        if not await network.deliver(self._own.name, self._service.name):
+        if not await network.deliver(self._process.name, self._service.name):
             raise TargetError(Failure.NOT_SENT, "connection refused")
         answer = self._service.run(body)
         lost = network.rng.random() < self._service.lose_answers
-        if lost or not await network.deliver(self._service.name, self._own.name):
+        if lost or not await network.deliver(self._service.name, self._process.name):
             raise TargetError(Failure.BROKE_OFF, "the answer was lost")
-        await self._own.pass_through()
+        await self._process.wait_running()
         return answer
 
 
 class SoakConnector:
-    """Make one node's adapters of the shared targets."""
+    """Create one node's adapters of the shared targets."""
 
     def __init__(
         self,
         engines: dict[str, SoakEngine],
         services: dict[str, SoakService],
-        own: Presence,
+        process: NodeProcess,
         network: Network,
     ) -> None:
         self._engines = engines
         self._services = services
-        self._own = own
+        self._process = process
         self._network = network
 
     def engine(self, engine: Engine) -> SoakEngineAdapter:
         """Return the adapter of a model engine."""
-        return SoakEngineAdapter(self._engines[engine.name], self._own, self._network)
+        return SoakEngineAdapter(
+            self._engines[engine.name], self._process, self._network
+        )
 
     def service(self, engine: Engine) -> SoakServiceAdapter:
         """Return the adapter of a plain service."""
         service = self._services[engine.name]
-        return SoakServiceAdapter(service, self._own, self._network)
+        return SoakServiceAdapter(service, self._process, self._network)
--- a/bench/soak/observed.py
+++ b/bench/soak/observed.py
@@ -1,4 +1,4 @@
-"""What a run of the soak observes of the platform and of its callers."""
+"""Observation of a run: ledger writes, views of the platform, callers' requests."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,11 +7,11 @@
 from anvilshift.objects.ledgers import LEDGER_KIND, read_body
 from anvilshift.objects.store import Body, Stored
 from anvilshift.standins.memory import MemoryStore, MemoryView
-from bench.soak.network import Presence
+from bench.soak.network import NodeProcess
 
 
 class ObservedStore(MemoryStore):
-    """A platform that tells the run what every write of a ledger recorded."""
+    """A platform store that passes every written ledger to a callback."""
 
     def __init__(self, observe: Callable[[Ledger], None]) -> None:
         super().__init__()
@@ -24,32 +24,32 @@
         return stored
 
 
-class PresentView(MemoryView):
-    """The platform as one incarnation of a node reaches it.
+class ProcessView(MemoryView):
+    """The platform as seen by the process of one incarnation of a node.
 
-    Held by name alone, a killed node would go on writing as soon as its successor
-    had started under the same name.
+    If calls were blocked by the node's name alone, a killed node would go on writing
+    as soon as its successor had started under the same name.
     """
 
-    def __init__(self, store: MemoryStore, presence: Presence) -> None:
-        super().__init__(store, presence.name)
-        self._presence = presence
+    def __init__(self, store: MemoryStore, process: NodeProcess) -> None:
+        super().__init__(store, process.name)
+        self._process = process
 
     async def _begin(self, verb: str) -> None:
         await super()._begin(verb)
-        await self._presence.pass_through()
+        await self._process.wait_running()
         self._reach()
 
     async def _end(self, verb: str) -> None:
         await super()._end(verb)
-        await self._presence.pass_through()
+        await self._process.wait_running()
         self._reach()
 
 
 @dataclass(frozen=True)
-class Asked:
-    """What a caller asked for, by which its bill and its answer are judged."""
+class CallerRequest:
+    """A caller's request, against which its bill and its answer are checked."""
 
     organisation: str
-    request: str
+    text: str
     cost: int
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -1,6 +1,6 @@
 """One seeded run: nodes, callers, faults, and the checks at its end.
 
-``make soak SEED=7 SECONDS=600`` runs one; the seed fixes every choice.
+``make soak SEED=7 SECONDS=600`` runs one; the seed determines every random choice.
 """
 
 import asyncio
@@ -24,22 +24,22 @@
 from anvilshift.settings.router import RouterSettings
 from anvilshift.standins.virtual import VirtualClock, run_virtual
 from anvilshift.wire.messages import Address
-from bench.soak.books import check_books, check_fleet
+from bench.soak.books import check_billing, check_recovery
 from bench.soak.changes import ChangingSchedule
-from bench.soak.course import Course, Event, Tape, TapedRandom
+from bench.soak.course import Course, DrawRecord, Event, ReplayableRandom
 from bench.soak.faults import FaultSchedule
 from bench.soak.http import Entry
 from bench.soak.journal import BrokenInvariantError, Journal
 from bench.soak.limits import LIMIT_ONE, LimitFaults
 from bench.soak.network import (
     Network,
-    Presence,
+    NodeProcess,
     SoakConnector,
     SoakEngine,
     SoakLink,
     SoakService,
 )
-from bench.soak.observed import Asked, ObservedStore, PresentView
+from bench.soak.observed import CallerRequest, ObservedStore, ProcessView
 from bench.soak.traffic import ASK, ORDER, ORDER_COST, ORGANISATIONS, Traffic
 
 _COURSES = pathlib.Path("out/soak")
@@ -47,25 +47,25 @@
 ENGINES = 4
 LEASE: Millis = 5 * SECOND
 _SETTLE_S = 60.0
-_AFTER_S = 30.0
-"""How long a run goes on after the last event of its course."""
+_TAIL_S = 30.0
+"""Seconds that a run continues after the last event of its course."""
 _DOMAINS = ("north", "south", "east")
-_FIRST_TOPUP = 60_000
+_INITIAL_TOPUP = 60_000
 
 
 class Soak:
-    """One run."""
+    """The state of one run: nodes, targets, platform, callers and checks."""
 
     def __init__(
         self,
         seed: int,
         clock: VirtualClock,
         seconds: float,
-        played: Course | None = None,
+        replayed: Course | None = None,
     ) -> None:
-        self.rng: Any = TapedRandom(random.Random(seed))
+        self.rng: Any = ReplayableRandom(random.Random(seed))
         self.course = Course(seed, seconds)
-        self._played = played
+        self._replayed = replayed
         self.clock = clock
         self.seconds = seconds
         self.journal = Journal(clock.now)
@@ -73,11 +73,11 @@
         self.store = ObservedStore(self.observe_ledger)
         self.accepted = 0
         self.entries: dict[str, Entry] = {}
-        self.topped: dict[str, int] = {}
-        self.asked: dict[str, Asked] = {}
-        self.marks: dict[str, Asked] = {}
-        self.billed: dict[tuple[str, str], Asked] = {}
-        self.seen: dict[tuple[str, str], int] = {}
+        self.topped_up: dict[str, int] = {}
+        self.requests: dict[str, CallerRequest] = {}
+        self.requests_by_mark: dict[str, CallerRequest] = {}
+        self.billed: dict[tuple[str, str], CallerRequest] = {}
+        self.read_chars: dict[tuple[str, str], int] = {}
         self.spent: dict[str, int] = {}
         self.doubt: dict[str, int] = {}
         self.engines = {
@@ -86,7 +86,7 @@
         }
         self.services = {"desk": SoakService("desk", self.journal)}
         self.telemetry = Telemetry(exported=False)
-        self.quiet = False
+        self.arrivals_ended = False
         self.numbers = itertools.count()
         self.traffic = Traffic(self)
         self._failure: BaseException | None = None
@@ -94,10 +94,10 @@
         self.journal.fail = self.fail
 
     def observe_ledger(self, ledger: Ledger) -> None:
-        """Compare a ledger that was just written with all that came before."""
+        """Check a ledger as it is written: its sums, and each new mark of a bill."""
         for name, account in ledger.accounts.items():
-            kept = account.spent + account.held + account.doubt + account.free
-            fits = account.free >= 0 and kept == account.total
+            accounted = account.spent + account.held + account.doubt + account.free
+            fits = account.free >= 0 and accounted == account.total
             self.journal.check("no budget overspent", fits, name)
             self.spent[name] = account.spent
             self.doubt[name] = account.doubt
@@ -106,26 +106,28 @@
                     self._observe_marks(name, f"{slot}/{holder}", marks)
 
     def _observe_marks(self, account: str, place: str, marks: str) -> None:
-        for start in range(self.seen.get((account, place), 0), len(marks), MARK_CHARS):
+        for start in range(
+            self.read_chars.get((account, place), 0), len(marks), MARK_CHARS
+        ):
             mark = marks[start : start + KEY_CHARS]
             self.journal.events += 1
-            known = mark in self.marks
+            known = mark in self.requests_by_mark
             self.journal.check("bills are of requests", known, f"{mark} in {place}")
             once = (account, mark) not in self.billed
-            detail = f"{self.marks[mark].request} in {place}"
+            detail = f"{self.requests_by_mark[mark].text} in {place}"
             self.journal.check("billed exactly once", once, detail)
-            self.billed[account, mark] = self.marks[mark]
-        self.seen[account, place] = len(marks)
-
-    def ask(self, key: str, content: str, asked: Asked) -> str:
-        """Note what a caller is about to ask; return its name in the ledger."""
-        identity = digest(digest(asked.organisation, key), content)
-        self.asked[identity] = asked
-        self.marks[make_mark(identity)] = asked
+            self.billed[account, mark] = self.requests_by_mark[mark]
+        self.read_chars[account, place] = len(marks)
+
+    def register_request(self, key: str, content: str, request: CallerRequest) -> str:
+        """Register a request before it is sent; return its identity in the ledger."""
+        identity = digest(digest(request.organisation, key), content)
+        self.requests[identity] = request
+        self.requests_by_mark[make_mark(identity)] = request
         return identity
 
-    def settings(self, index: int) -> RouterSettings:
-        """Return a node's settings."""
+    def make_settings(self, index: int) -> RouterSettings:
+        """Return the settings of a node."""
         addresses = [Address("127.0.0.1", 1000 * (index + 1) + i) for i in range(3)]
         return RouterSettings(
             f"r{index}",
@@ -139,36 +141,36 @@
         )
 
     def start_node(self, index: int) -> Entry:
-        """Start a node; one that was there before is gone for good."""
-        settings = self.settings(index)
-        presence = Presence(settings.name)
+        """Start a node; it replaces any earlier incarnation in the network."""
+        settings = self.make_settings(index)
+        process = NodeProcess(settings.name)
         world = World(
             self.clock,
-            PresentView(self.store, presence),
-            SoakLink(self.network, presence),
-            SoakConnector(self.engines, self.services, presence, self.network),
+            ProcessView(self.store, process),
+            SoakLink(self.network, process),
+            SoakConnector(self.engines, self.services, process, self.network),
             self.telemetry,
             random.Random(self.rng.getrandbits(64)),
         )
         node = Node(settings, world)
-        entry = Entry(node, presence)
+        entry = Entry(node, process)
         self.entries[str(settings.listen)] = entry
-        self.network.presences[str(settings.peer_listen)] = presence
-        self.network.note_disturbed(settings.name, self.clock.now())
+        self.network.processes[str(settings.peer_listen)] = process
+        self.network.record_start(settings.name, self.clock.now())
         self.network.handlers[str(settings.peer_listen)] = node.fleet
         node.start()
         return entry
 
-    def entry(self, index: int) -> Entry:
-        """Return the present entry of a node."""
-        return self.entries[str(self.settings(index).listen)]
+    def find_entry(self, index: int) -> Entry:
+        """Return the entry of a node's current incarnation."""
+        return self.entries[str(self.make_settings(index).listen)]
 
     async def _delay(self, caller: str, verb: str) -> None:
-        """Delay a call of the platform."""
-        await self.network.travel()
+        """Delay a platform call like any other message."""
+        await self.network.wait_transit()
 
     async def prepare(self) -> None:
-        """Store declarations, top budgets up and start every node."""
+        """Store declarations, top budgets up, start every node and await readiness."""
         self.store.faults.before = self._delay
         self.store.faults.after = self._delay
         for name in ORGANISATIONS:
@@ -182,7 +184,7 @@
                 "credentials": [hash_token(f"{name}-token")],
             }
             await self.store.put("Organisation", name, organisation, 0)
-            await self.add_tokens(name, _FIRST_TOPUP)
+            await self.add_tokens(name, _INITIAL_TOPUP)
         await self._declare_targets()
         for index in range(ROUTERS):
             self.start_node(index)
@@ -223,52 +225,54 @@
             await self.store.put(document["kind"], document["name"], document, 0)
 
     async def add_tokens(self, budget: str, tokens: int) -> None:
-        """Top a budget up, as an operator does, until it is stored."""
+        """Top a budget up, as an operator does; the tokens are counted beforehand."""
         identity = f"topup-{next(self.numbers)}"
-        self.topped[budget] = self.topped.get(budget, 0) + tokens
+        self.topped_up[budget] = self.topped_up.get(budget, 0) + tokens
         await top_up(self.store, budget, tokens, identity)
 
     def fail(self, error: BaseException | None) -> None:
-        """End the run with an error."""
+        """End the run with an error; only the first error is kept."""
         self._failure = self._failure or error
         self._failed.set()
 
     async def run(self) -> Journal:
-        """Run traffic and faults, then check the books."""
+        """Run traffic and faults, let the fleet recover, then run the final checks."""
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self._take_exception)
         await self.prepare()
         schedule = ChangingSchedule(self, random.Random(self.rng.getrandbits(64)))
-        naming = LimitFaults(self, random.Random(self.rng.getrandbits(64)))
-        if self._played is not None:
-            play = self._played.play(self.clock.now, self._make_start(schedule, naming))
-            works = [play]
+        limit_faults = LimitFaults(self, random.Random(self.rng.getrandbits(64)))
+        if self._replayed is not None:
+            replay = self._replayed.play(
+                self.clock.now, self._make_starter(schedule, limit_faults)
+            )
+            jobs = [replay]
         else:
-            self.traffic.begin()
-            works = [schedule.run(), naming.run()]
-        tasks = [asyncio.create_task(work) for work in works]
+            self.traffic.start()
+            jobs = [schedule.run(), limit_faults.run()]
+        tasks = [asyncio.create_task(job) for job in jobs]
         await self._wait(self.seconds)
-        self.quiet = True
+        self.arrivals_ended = True
         for task in tasks:
             task.cancel()
-        await schedule.heal()
+        await schedule.wait_healed()
         await self._wait(_SETTLE_S)
-        check_books(self)
-        check_fleet(self)
+        check_billing(self)
+        check_recovery(self)
         return self.journal
 
-    def _make_start(
-        self, schedule: FaultSchedule, naming: LimitFaults
-    ) -> Callable[[Event, Tape], None]:
-        """Return what starts an event of a course that is played."""
+    def _make_starter(
+        self, schedule: FaultSchedule, limit_faults: LimitFaults
+    ) -> Callable[[Event, DrawRecord], None]:
+        """Return the function that starts the events of a course."""
 
-        def start(event: Event, tape: Tape) -> None:
+        def start(event: Event, record: DrawRecord) -> None:
             if event.kind in (ASK, ORDER):
-                self.traffic.arrive(event, tape)
+                self.traffic.start_caller(event, record)
             elif event.kind == LIMIT_ONE:
-                self.traffic.spawn(tape.run(naming.limit_one()))
+                self.traffic.spawn(record.run(limit_faults.limit_one()))
             else:
-                schedule.start(event, tape)
+                schedule.start(event, record)
 
         return start
 
@@ -288,7 +292,7 @@
 
 
 def run_seed(seed: int, seconds: float) -> Journal:
-    """Run one seed.
+    """Run one seed and return its journal.
 
     Raises
     ------
@@ -299,7 +303,7 @@
 
 
 def play_course(course: Course, network: int) -> Journal:
-    """Play a course that was recorded, over links with delays of another seed.
+    """Play a course; a seed of its own determines the message delays.
 
     Raises
     ------
@@ -307,7 +311,7 @@
         The first invariant that did not hold.
     """
     last = course.events[-1].at / SECOND
-    soak = Soak(course.seed, VirtualClock(), last + _AFTER_S, course)
+    soak = Soak(course.seed, VirtualClock(), last + _TAIL_S, course)
     soak.network.rng.seed(network)
     return _run(soak)
 
@@ -316,7 +320,7 @@
     try:
         return run_virtual(soak.run())
     except Exception as error:
-        error.add_note(f"seed {soak.course.seed}\n{soak.journal.show()}")
+        error.add_note(f"seed {soak.course.seed}\n{soak.journal.format_counts()}")
         if soak.course.events:
             path = _COURSES / f"{soak.course.seed}.json"
             soak.course.save(path)
@@ -335,7 +339,7 @@
         for note in error.__notes__:
             print(note)
         return 1
-    print(journal.show())
+    print(journal.format_counts())
     return 0
 
 
--- a/bench/soak/traffic.py
+++ b/bench/soak/traffic.py
@@ -1,4 +1,4 @@
-"""The callers of a run: who asks and orders, and what each must get."""
+"""The callers of a run: their model requests and orders, and checks of outcomes."""
 
 import asyncio
 import random
@@ -10,10 +10,10 @@
 from anvilshift.standins.engine import POISON, make_answer
 from anvilshift.wire.messages import Address
 from bench.soak.changes import make_prefix
-from bench.soak.course import Event, Tape
+from bench.soak.course import DrawRecord, Event
 from bench.soak.http import SoakHttp
 from bench.soak.journal import Receipt
-from bench.soak.observed import Asked
+from bench.soak.observed import CallerRequest
 
 if TYPE_CHECKING:
     from bench.soak.run import Soak
@@ -24,24 +24,24 @@
 REQUEST_GAP_S = 0.25
 ORDER_GAP_S = 1.5
 _POISON_TOKENS = 20
-POISON_SHARE = 0.03
+_POISON_RATIO = 0.03
 _DEADLINE: Millis = 8 * SECOND
-_LATE_LIMIT: Millis = 2 * SECOND
-"""A frozen router tells nobody anything; its callers give up by themselves."""
+_DEADLINE_MARGIN: Millis = 2 * SECOND
+"""Margin for callers of a frozen router, which give up by their own timeout."""
 
 
 class Traffic:
-    """The callers of one run."""
+    """Generate the callers of one run and check what each receives."""
 
     def __init__(self, soak: "Soak") -> None:
         self._soak = soak
         self._callers: set[asyncio.Task[None]] = set()
 
-    def begin(self) -> None:
-        """Let every organisation ask and order until the run is quiet."""
+    def start(self) -> None:
+        """Start random requests and orders of every organisation until arrivals end."""
         for name in ORGANISATIONS:
-            self.spawn(self._keep_asking(name))
-            self.spawn(self._keep_ordering(name))
+            self.spawn(self._generate_requests(name))
+            self.spawn(self._generate_orders(name))
 
     def _client(self, organisation: str) -> Client:
         seeds = [Address.parse(address) for address in self._soak.entries]
@@ -54,26 +54,26 @@
         rng = random.Random(self._soak.rng.getrandbits(64))
         return Client(seeds, f"{organisation}-token", self._soak.clock, rng, http)
 
-    async def _ask(
+    async def _send_request(
         self, organisation: str, poison: bool, prefix: int = -1, name: str = ""
     ) -> None:
-        """Be one caller of a model.
+        """Send one model request and check that its answer is in time.
 
         Parameters
         ----------
         prefix
-            Number of the prefix that the prompt begins with; -1 for none.
+            Number of the shared prefix of the prompt; -1 for none.
         name
-            Tells one poison from another.
+            Suffix that distinguishes one poison from another.
         """
-        began = self._soak.clock.now()
-        await self._ask_once(organisation, poison, prefix, name)
-        took = self._soak.clock.now() - began
-        detail = f"answered after {took:.0f} ms"
-        in_time = took <= _DEADLINE + _LATE_LIMIT
+        started = self._soak.clock.now()
+        await self._send_checked(organisation, poison, prefix, name)
+        elapsed = self._soak.clock.now() - started
+        detail = f"answered after {elapsed:.0f} ms"
+        in_time = elapsed <= _DEADLINE + _DEADLINE_MARGIN
         self._soak.journal.check("answered by the deadline", in_time, detail)
 
-    async def _ask_once(
+    async def _send_checked(
         self, organisation: str, poison: bool, prefix: int, name: str
     ) -> None:
         number = next(self._soak.numbers)
@@ -88,44 +88,44 @@
             prompt = f"{shared}\n{prompt}"
         cost = len(prompt) // 4 + 1 + tokens
         body = {"model": "advice", "messages": messages, "max_tokens": tokens}
-        asked = Asked(organisation, prompt, cost)
-        identity = self._soak.ask(key, digest_chat(body), asked)
+        request = CallerRequest(organisation, prompt, cost)
+        identity = self._soak.register_request(key, digest_chat(body), request)
         conversation = Conversation("advice", messages, tokens, _DEADLINE, key)
         try:
             text = await self._client(organisation).ask(conversation)
         except CallError as error:
             outcome = f"model, code {error.number}, {error.fate}"
-            self._soak.journal.received(Receipt(identity, organisation, outcome))
+            self._soak.journal.record_receipt(Receipt(identity, organisation, outcome))
             return
-        right = text == make_answer(prompt, tokens)
-        self._soak.journal.check("whole answer to the right caller", right, prompt)
+        correct = text == make_answer(prompt, tokens)
+        self._soak.journal.check("whole answer to the right caller", correct, prompt)
         receipt = Receipt(identity, organisation, "model, whole")
-        self._soak.journal.received(receipt)
+        self._soak.journal.record_receipt(receipt)
 
-    async def _order(self, organisation: str) -> None:
-        """Be one caller who orders, now and then twice with one key."""
+    async def _send_orders(self, organisation: str) -> None:
+        """Send one order, in 30% of cases twice with the same key."""
         number = next(self._soak.numbers)
         key = f"order-{number}"
         order = f"{organisation}|order {number}"
         content = digest_call("orders", "POST", "book", order.encode())
-        asked = Asked(organisation, order, ORDER_COST)
-        identity = self._soak.ask(key, content, asked)
+        request = CallerRequest(organisation, order, ORDER_COST)
+        identity = self._soak.register_request(key, content, request)
         twice = self._soak.rng.random() < 0.3
-        sends = [self._send_order(organisation, key, order) for _ in range(1 + twice)]
+        sends = [self._call_service(organisation, key, order) for _ in range(1 + twice)]
         outcomes = await asyncio.gather(*sends)
         runs = self._soak.journal.service_runs[order]
         for outcome in outcomes:
             if outcome == "answered":
                 self._soak.journal.check("answered order ran", runs == 1, order)
             if outcome.endswith("not run"):
-                told = f"{order} ran {runs} times, {outcome}"
+                detail = f"{order} ran {runs} times, {outcome}"
                 self._soak.journal.check(
-                    "not run means not run", runs == 0 or twice, told
+                    "not run means not run", runs == 0 or twice, detail
                 )
             receipt = Receipt(identity, organisation, f"order, {outcome}")
-            self._soak.journal.received(receipt)
+            self._soak.journal.record_receipt(receipt)
 
-    async def _send_order(self, organisation: str, key: str, order: str) -> str:
+    async def _call_service(self, organisation: str, key: str, order: str) -> str:
         try:
             await self._client(organisation).call(
                 "orders",
@@ -140,7 +140,7 @@
         return "answered"
 
     def spawn(self, work: Any) -> None:
-        """Do something in the background; what it raises ends the run."""
+        """Run a coroutine in the background; an exception in it ends the run."""
         task = asyncio.create_task(work)
         self._callers.add(task)
         task.add_done_callback(self._finish_caller)
@@ -150,23 +150,23 @@
         if not task.cancelled() and task.exception() is not None:
             self._soak.fail(task.exception())
 
-    async def _keep_asking(self, organisation: str) -> None:
-        while not self._soak.quiet:
+    async def _generate_requests(self, organisation: str) -> None:
+        while not self._soak.arrivals_ended:
             await asyncio.sleep(self._soak.rng.expovariate(1 / REQUEST_GAP_S))
-            poisonous = organisation == ORGANISATIONS[0]
-            poison = poisonous and self._soak.rng.random() < POISON_SHARE
-            self._note(ASK, organisation, poison)
+            sends_poison = organisation == ORGANISATIONS[0]
+            poison = sends_poison and self._soak.rng.random() < _POISON_RATIO
+            self._record(ASK, organisation, poison)
 
-    async def _keep_ordering(self, organisation: str) -> None:
-        while not self._soak.quiet:
+    async def _generate_orders(self, organisation: str) -> None:
+        while not self._soak.arrivals_ended:
             await asyncio.sleep(self._soak.rng.expovariate(1 / ORDER_GAP_S))
-            self._note(ORDER, organisation)
+            self._record(ORDER, organisation)
 
-    def _note(self, kind: str, *arguments: Any) -> None:
+    def _record(self, kind: str, *arguments: Any) -> None:
         event = Event(self._soak.clock.now(), kind, list(arguments))
-        self.arrive(event, self._soak.course.note(event))
+        self.start_caller(event, self._soak.course.record(event))
 
-    def arrive(self, event: Event, tape: Tape) -> None:
-        """Let one caller begin."""
-        work = self._ask if event.kind == ASK else self._order
-        self.spawn(tape.run(work(*event.arguments)))
+    def start_caller(self, event: Event, record: DrawRecord) -> None:
+        """Start the caller of an arrival event."""
+        work = self._send_request if event.kind == ASK else self._send_orders
+        self.spawn(record.run(work(*event.arguments)))
--- a/tests/bench/test_courses.py
+++ b/tests/bench/test_courses.py
@@ -1,4 +1,4 @@
-"""Courses of runs that broke an invariant, played again over today's code."""
+"""Regression tests: courses of runs that broke an invariant are played again."""
 
 import pathlib
 import tempfile
@@ -15,8 +15,8 @@
 LIMIT_CHECK = "limits are kept"
 BILL_CHECK = "answer is billed"
 DRAWN, DRAWN_SECONDS = (1, 2), 30.0
-NETWORKS = range(3)
-"""Seeds of the links' delays; the course itself has its own instants."""
+NETWORK_SEEDS = range(3)
+"""Seeds of the message delays; the times of events are fixed by the course."""
 
 
 class CourseTest(unittest.TestCase):
@@ -24,7 +24,7 @@
         self.addCleanup(logging.set_verbosity, logging.get_verbosity())
         logging.set_verbosity(logging.FATAL)
 
-    def play(self, name, check=POISON_CHECK, networks=NETWORKS):
+    def play(self, name, check=POISON_CHECK, networks=NETWORK_SEEDS):
         course = Course.load(COURSES / f"{name}.json")
         for network in networks:
             with self.subTest(network=network):
@@ -32,38 +32,38 @@
                 self.assertGreater(journal.checks[check], 0)
 
     def test_poison_at_an_engine_that_fails_by_itself(self):
-        """Guards against a crash that is put down to the engine alone."""
+        """Guards against a poison's crash that is attributed to the engine alone."""
         self.play("41")
 
     def test_poison_beside_another_suspect(self):
-        """Guards against a second suspect that takes the blame."""
+        """Guards against blaming another request that ran at the crashed engine."""
         self.play("48")
 
     def test_poison_behind_a_cut_whose_router_lost_its_record(self):
-        """Guards against a router that is taken for gone behind a cut."""
+        """Guards against treating a router as gone that is only disconnected."""
         self.play("7030")
 
     def test_poison_in_the_first_second_of_a_cut(self):
-        """Guards against a third engine while nobody knows yet of the cut."""
+        """Guards against a third crashed engine before the disconnection is noticed."""
         self.play("8012")
 
     def test_limit_that_an_engine_names_as_it_comes_back(self):
-        """Guards against a queue that is sent before the engine's limit is known."""
+        """Guards against sending queued work before the engine's limit is known."""
         self.play("9007", LIMIT_CHECK)
 
     def test_bill_whose_spare_copy_went_to_a_dead_router(self):
-        """Guards against a bill that only its holder and its witness have."""
+        """Guards against a bill with copies at its holder and its witness only."""
         self.play("8001", BILL_CHECK, networks=(0,))
 
     def test_bill_whose_witness_stopped_as_planned(self):
-        """Guards against copies that end with a planned stop."""
+        """Guards against copies of bills that are lost in a planned stop."""
         self.play("8049", BILL_CHECK, networks=(1,))
 
     def test_invariants_hold_where_routers_know_different_things(self):
-        """Guards against bounds that rest on routers knowing the same.
+        """Guards against bounds that hold only while routers have the same state.
 
-        Prompts share prefixes, each router hears of other caches, engines are
-        declared and replaced while some routers are cut off.
+        Prompts share prefixes, routers receive different cache events, and engines
+        are declared and replaced while some routers are disconnected.
         """
         for seed in DRAWN:
             with self.subTest(seed=seed):
--- a/tests/bench/test_limits.py
+++ b/tests/bench/test_limits.py
@@ -1,4 +1,4 @@
-"""What the soak counts against a limit that an engine names."""
+"""Which requests the soak counts against an engine's reported limit."""
 
 import unittest
 
@@ -7,21 +7,21 @@
 
 class LimitWatchTest(unittest.TestCase):
     def test_requests_before_the_first_limit_are_not_counted(self):
-        """Guards against a limit held against routers that nobody had told."""
+        """Guards against counting requests of routers that couldn't know the limit."""
         watch = LimitWatch()
         for n in range(11):
-            watch.arrive(9_000.0 + n)
-        watch.name(0.5, now=9_500.0)
-        self.assertIsNone(watch.arrive(9_600.0))
-        self.assertEqual(watch.arrive(12_900.0), 2)
+            watch.count_arrival(9_000.0 + n)
+        watch.set_rate(0.5, now=9_500.0)
+        self.assertIsNone(watch.count_arrival(9_600.0))
+        self.assertEqual(watch.count_arrival(12_900.0), 2)
 
     def test_requests_before_a_lower_limit_are_counted(self):
         watch = LimitWatch()
-        watch.name(5.0, now=0.0)
+        watch.set_rate(5.0, now=0.0)
         for n in range(4):
-            watch.arrive(9_000.0 + n)
-        watch.name(0.5, now=9_500.0)
-        self.assertEqual(watch.arrive(12_900.0), 5)
+            watch.count_arrival(9_000.0 + n)
+        watch.set_rate(0.5, now=9_500.0)
+        self.assertEqual(watch.count_arrival(12_900.0), 5)
 
 
 if __name__ == "__main__":
--- a/tests/bench/test_soak.py
+++ b/tests/bench/test_soak.py
@@ -8,7 +8,7 @@
 
 VIRTUAL_SECONDS = 30.0
 SEEDS = (1, 2, 3, 5)
-"""Each of these found a fault once; docs/INVARIANTS.md says which."""
+"""Each seed once found a fault, which docs/INVARIANTS.md describes."""
 
 
 class SoakTest(unittest.TestCase):
@@ -17,10 +17,10 @@
         logging.set_verbosity(logging.FATAL)
 
     def test_invariants_hold_under_random_faults(self):
-        """Routers die, pause and are cut off while the platform fails as well.
+        """Routers are killed, paused and disconnected while the platform fails too.
 
-        Every request is judged against what the targets ran and what the
-        ledger recorded; any broken invariant ends the run with its name.
+        Every request is checked against what the targets ran and what the ledger
+        recorded; a broken invariant ends the run with an error that names it.
         """
         for seed in SEEDS:
             with self.subTest(seed=seed):
@@ -31,27 +31,28 @@
     def test_poison_at_an_engine_that_fails_by_itself(self):
         """An engine crashes three times in a minute, then a poison crashes it too.
 
-        The engine counts as faulty, so the poison isn't blamed for it, and
-        costs two engines more.
+        Guards against counting the engine as faulty without blaming the poison,
+        which then crashes two more engines.
         """
         run_seed(41, 200.0)
 
     def test_poison_beside_another_suspect(self):
         """A poison and an innocent request both ran where an engine crashed.
 
-        Both are suspects.  When the next engine crashes under both routers'
-        work, the innocent one takes the blame, and the poison runs once more.
+        Both are suspects.  Guards against blaming the innocent one when the next
+        engine crashes while running work of both routers, and running the poison
+        once more.
         """
         run_seed(48, 200.0)
 
     def test_poison_whose_crash_another_suspect_took(self):
-        """Guards against a third engine lost within milliseconds of the first."""
+        """Guards against a third engine crashed within milliseconds of the first."""
         run_seed(319, 30.0)
 
     def test_poison_whose_blame_was_withdrawn(self):
-        """Guards against a poison that is freed by an engine's own crashes."""
+        """Guards against clearing a poison because of an engine's own crashes."""
         run_seed(66, 40.0)
 
     def test_poison_through_a_router_that_is_cut_off(self):
-        """Guards against a third engine lost by routers that were told nothing."""
+        """Guards against a third engine crashed by routers not told of the blame."""
         run_seed(1011, 40.0)
