--- a/tests/bench/test_courses.py
+++ b/tests/bench/test_courses.py
@@ -47,7 +47,7 @@
         """Guards against a third crashed engine before the disconnection is noticed."""
         self.play("8012")
 
-    def test_limit_that_an_engine_names_as_it_comes_back(self):
+    def test_limit_that_an_engine_reports_as_it_restarts(self):
         """Guards against sending queued work before the engine's limit is known."""
         self.play("9007", LIMIT_CHECK)
 
